--- a/features/steps/crashledger_steps.py
+++ b/features/steps/crashledger_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the attribution of crashes."""
+"""Steps on the search for requests that crash endpoints."""
 
 import itertools
 
@@ -17,7 +17,7 @@
     if pattern == "a request is answered between its crashes":
         ledger = ledgerpatterns.ledger_of(ledgerpatterns.in_a_row(2, "popular"))
         ledger.clear(
-            ledgerpatterns.print_of("popular"),
+            ledgerpatterns.fingerprint_of("popular"),
             2 * ledgerpatterns.STEP_S - ledgerpatterns.RUN_S,
         )
         for report in ledgerpatterns.in_a_row(2, "popular", first=2):
@@ -25,38 +25,42 @@
     elif pattern == "an old report comes after the request was answered":
         ledger = ledgerpatterns.ledger_of(ledgerpatterns.in_a_row(2, "popular"))
         ledger.clear(
-            ledgerpatterns.print_of("popular"), 3 * ledgerpatterns.STEP_S
+            ledgerpatterns.fingerprint_of("popular"), 3 * ledgerpatterns.STEP_S
         )
         for report in ledgerpatterns.in_a_row(3, "popular"):
             ledger.record(report, 4 * ledgerpatterns.STEP_S)
     else:
         ledger = ledgerpatterns.ledger_of(ledgerpatterns.PATTERNS[pattern])
-    context.convicted = ledgerpatterns.convicted_by(ledger)
+    context.culprits = ledgerpatterns.culprits_of(ledger)
 
 
-@then("convicted are: {names}")
+@then("the culprits are: {names}")
 def convicted_are(context, names):
     wanted = [] if names == "nothing" else names.split()
-    found = set(context.convicted)
-    assert found == {ledgerpatterns.print_of(name) for name in wanted}, found
+    found = set(context.culprits)
+    assert found == {
+        ledgerpatterns.fingerprint_of(name) for name in wanted
+    }, found
 
 
-@when("poison is convicted and a bystander was in flight at two of its crashes")
+@when(
+    "poison is a known culprit and a bystander was in flight at two of its crashes"
+)
 def explained(context):
     reports = ledgerpatterns.in_a_row(1, "poison") + ledgerpatterns.in_a_row(
         2, "poison", "bystander", first=1
     )
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.culprits_of(context.ledger)
 
 
-@when("the bystander meets another crash")
+@when("the bystander is in flight at another crash")
 def another(context):
     at = 5 * ledgerpatterns.STEP_S
     context.ledger.record(
         ledgerpatterns.crash(9, at, bystander=at - ledgerpatterns.RUN_S), at
     )
-    context.convicted += ledgerpatterns.convicted_by(context.ledger, "poison")
+    context.culprits += ledgerpatterns.culprits_of(context.ledger, "poison")
 
 
 @when(
@@ -64,30 +68,30 @@
     " popular {kind}"
 )
 def crash_in_turn(context, count, kind):
-    reports = ledgerpatterns.taking_turns_under_popular(count)
+    reports = ledgerpatterns.alternating_under_popular(count)
     if kind == "stream":
-        reports = ledgerpatterns.writing(reports, "popular")
+        reports = ledgerpatterns.with_output(reports, "popular")
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = []
+    context.culprits = []
 
 
-@when("one more under the popular request, which an observer has missed")
-def missed(context):
+@when("one more crashes under the popular request, which an observer misses")
+def crash_missed_by_observer(context):
     (report,) = ledgerpatterns.in_a_row(1, "popular", first=8)
     context.ledger.record(report, report.at)
-    context.convicted = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.culprits_of(context.ledger)
 
 
-@when("the first of the poison requests is convicted")
+@when("the first of the poison requests is a known culprit")
 def first_convicted(context):
-    context.convicted = ledgerpatterns.convicted_by(context.ledger, "poison0")
+    context.culprits = ledgerpatterns.culprits_of(context.ledger, "poison0")
 
 
 @when("two endpoints crash under poison and a popular request")
 def two_crashes(context):
     reports = ledgerpatterns.in_a_row(2, "poison", "popular")
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = []
+    context.culprits = []
 
 
 @when(
@@ -99,9 +103,7 @@
         if name != "nobody":
             sent = {name: at - ledgerpatterns.RUN_S}
             context.ledger.record(ledgerpatterns.crash(2, at, **sent), now)
-        context.convicted += ledgerpatterns.convicted_by(
-            context.ledger, now=now
-        )
+        context.culprits += ledgerpatterns.culprits_of(context.ledger, now=now)
 
 
 @when(
@@ -112,41 +114,41 @@
     context.ledger.record(
         ledgerpatterns.crash(9, at, popular=at - ledgerpatterns.RUN_S), at
     )
-    context.convicted += ledgerpatterns.convicted_by(
+    context.culprits += ledgerpatterns.culprits_of(
         context.ledger, "poison", now=at + gap
     )
 
 
 @when(
-    "poison is convicted and a popular request is in flight at five more of"
+    "poison is a known culprit and a popular request is in flight at five more of"
     " its crashes"
 )
 def five_explained(context):
     reports = ledgerpatterns.in_a_row(3, "poison")
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.culprits_of(context.ledger)
     for report in ledgerpatterns.in_a_row(5, "poison", "popular", first=3):
         context.ledger.record(report, report.at)
-        found = ledgerpatterns.convicted_by(context.ledger, "poison")
-        context.convicted += found
+        found = ledgerpatterns.culprits_of(context.ledger, "poison")
+        context.culprits += found
 
 
 @when("two more endpoints crash under the popular request alone")
 def two_alone(context):
     for report in ledgerpatterns.in_a_row(2, "popular", first=8):
         context.ledger.record(report, report.at)
-    context.convicted += ledgerpatterns.convicted_by(context.ledger, "poison")
+    context.culprits += ledgerpatterns.culprits_of(context.ledger, "poison")
 
 
 @when(
-    "poison is convicted and a popular request is in flight at four of its"
+    "poison is a known culprit and a popular request is in flight at four of its"
     " crashes"
 )
 def four_explained(context):
     reports = ledgerpatterns.in_a_row(4, "poison", "popular")
     reports += ledgerpatterns.in_a_row(1, "poison", first=4)
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.culprits_of(context.ledger)
 
 
 @when(
@@ -160,17 +162,17 @@
         crash = ledgerpatterns.crash(number, at, popular=at - 0.05)
         stop = ledgerpatterns.crash(number, at - after, poison=at - after - 0.1)
         if when == "before":
-            ledger.note_stopped(stop)
+            ledger.record_stopped(stop)
             ledger.record(crash, at)
         else:
             ledger.record(crash, at)
-            ledger.note_stopped(stop)
-    context.convicted += ledgerpatterns.convicted_by(ledger, "poison")
+            ledger.record_stopped(stop)
+    context.culprits += ledgerpatterns.culprits_of(ledger, "poison")
 
 
 @when(
-    "the second one crashes again under both, as poison's gateway does not"
-    " know, reported {when}"
+    "the second one crashes again under both, unknown to poison's gateway,"
+    " reported {when}"
 )
 def crashes_again(context, when):
     at = 3 * ledgerpatterns.STEP_S
@@ -179,12 +181,12 @@
         ledgerpatterns.crash(1, at, popular=sent_at),
         endpoint=crashes.EndpointKey(endpoint="e1", incarnation=2),
     )
-    # Its gateway knows of the crash before and of no start since.
+    # The gateway of poison knows the first crash but not the new incarnation.
     unknown = ledgerpatterns.crash(1, ledgerpatterns.STEP_S, poison=sent_at)
     reports = [unknown, again] if when == "before" else [again, unknown]
     for report in reports:
         context.ledger.record(report, at)
-    context.convicted += ledgerpatterns.convicted_by(context.ledger)
+    context.culprits += ledgerpatterns.culprits_of(context.ledger)
 
 
 @then("no suspect is counted at a crash before it was sent")
@@ -192,41 +194,39 @@
     for crash in context.ledger.known.values():
         for suspect in crash.suspects.values():
             late_s = suspect.sent_at - crash.at
-            assert late_s <= crashrecord.ORDER_SLACK_S, (crash.at, suspect)
+            assert late_s <= crashrecord.CLOCK_SLACK_S, (crash.at, suspect)
 
 
 @when(
     "four endpoints crash under poison and popular, a fifth under popular and"
     " other"
 )
-def rivals(context):
+def two_suspects(context):
     reports = ledgerpatterns.in_a_row(4, "poison", "popular")
     reports += ledgerpatterns.in_a_row(1, "popular", "other", first=4)
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = []
+    context.culprits = []
 
 
 @when("{names} are answered {after:g} s later")
 def answered_later(context, names, after):
     now = 4 * ledgerpatterns.STEP_S + after
     for name in names.split(" and "):
-        context.ledger.clear(ledgerpatterns.print_of(name), now)
-        context.convicted += ledgerpatterns.convicted_by(
-            context.ledger, now=now
-        )
+        context.ledger.clear(ledgerpatterns.fingerprint_of(name), now)
+        context.culprits += ledgerpatterns.culprits_of(context.ledger, now=now)
 
 
-@then("any order of {count:d} reports convicts the same request")
+@then("any order of {count:d} reports yields the same culprit")
 def any_order(context, count):
     del context
-    reports = ledgerpatterns.followed()
+    reports = ledgerpatterns.with_bystander()
     reports.append(reports[0])
     assert len(reports) == count
     for order in itertools.permutations(reports):
         found = set(
-            ledgerpatterns.convicted_by(ledgerpatterns.ledger_of(list(order)))
+            ledgerpatterns.culprits_of(ledgerpatterns.ledger_of(list(order)))
         )
-        assert found == {ledgerpatterns.print_of("poison")}, order
+        assert found == {ledgerpatterns.fingerprint_of("poison")}, order
 
 
 @when("the ledger takes {attack}")
@@ -240,7 +240,7 @@
                 ledgerpatterns.crash(number, at, **{f"r{number}": at}), at
             )
         else:
-            ledger.clear(ledgerpatterns.print_of(f"r{number}"), at)
+            ledger.clear(ledgerpatterns.fingerprint_of(f"r{number}"), at)
 
 
 @then("it holds at most {most:d} crashes and {cleared:d} cleared requests")
--- a/src/_coltsfootroad/core/candidates.py
+++ b/src/_coltsfootroad/core/candidates.py
@@ -1,10 +1,9 @@
-"""Which engines a choice looks at when there are more than it can compare.
+"""Selects the engines that a choice compares in a large fleet.
 
-The pattern it answers: hundreds of engines, of which any will do for a short
-prompt and a dozen idle ones for a long one. Comparing all makes each choice
-slower with every engine; comparing a few drawn at random overlooks the idle
-ones when most are busy. So many are looked at briefly, and the most fitting of
-these are compared.
+Comparing all engines makes each choice slower with every engine that is added.
+Comparing a few random ones misses the idle engines when most are busy, and a
+long prompt needs a dozen of those. So a large random sample is classified
+cheaply, and only the most suitable engines of it are compared in full.
 """
 
 from collections.abc import Iterable
@@ -17,118 +16,132 @@
 
 
 @attrs.frozen(kw_only=True)
-class Places:
-    """How many engines of each kind are compared.
+class CandidateCounts:
+    """Number of engines of each kind to compare.
 
     Attributes:
-        idle: Without any work.
-        writing: That write answers and read nothing.
-        reading: That read prompts.
+        idle: Engines without work.
+        decoding: Engines that only decode.
+        prefilling: Engines that prefill prompts.
     """
 
     idle: int
-    writing: int
-    reading: int
+    decoding: int
+    prefilling: int
 
     @property
     def total(self) -> int:
-        """Return how many engines are compared."""
-        return self.idle + self.writing + self.reading
+        """Return the number of engines of all kinds."""
+        return self.idle + self.decoding + self.prefilling
 
 
 @attrs.frozen(kw_only=True)
-class Limits:
+class CandidateLimits:
     """Bounds on a choice.
 
     Attributes:
-        drawn: Endpoints that are looked at briefly. With one engine in five
-            idle, this finds as many idle ones as a long prompt is read on.
-        short: Compared for a short prompt. It goes to an engine that writes
-            others' answers if one has room; idle ones are all alike.
-        long: Compared for a long prompt, which is read on idle engines if
-            there are enough.
+        sampled: Endpoints in the random sample. With one idle engine in
+            five, a sample of this size has enough idle ones for a long prompt.
+        short: Engines to compare for a short prompt. It goes to a decoding
+            engine with room if there is one; idle engines are equivalent.
+        long: Engines to compare for a long prompt, which is prefilled on idle
+            engines if there are enough.
     """
 
-    drawn: int = 96
-    short: Places = Places(idle=4, writing=16, reading=4)
-    long: Places = Places(idle=18, writing=8, reading=6)
+    sampled: int = 96
+    short: CandidateCounts = CandidateCounts(idle=4, decoding=16, prefilling=4)
+    long: CandidateCounts = CandidateCounts(idle=18, decoding=8, prefilling=6)
 
 
-USUAL = Limits()
-Known = endpointset.KnownEndpoint
+DEFAULT_LIMITS = CandidateLimits()
+KnownEndpoint = endpointset.KnownEndpoint
 
 
-def draw(
-    known: list[Known],
+def sample_endpoints(
+    known: list[KnownEndpoint],
     now: float,
     avoid: set[str],
     rng: random.Random,
-    most: int = USUAL.drawn,
-) -> list[Known]:
-    """Return up to `most` endpoints in random order, usable ones if any is.
+    limit: int = DEFAULT_LIMITS.sampled,
+) -> list[KnownEndpoint]:
+    """Return up to `limit` endpoints in random order.
 
-    Not usable are those that rest, and those in `avoid`, which this request
-    has been sent to already.
+    Ejected endpoints and those in `avoid`, to which the request was already
+    sent, are left out unless no other endpoint is in the sample.
     """
-    drawn = rng.sample(known, min(most, len(known)))
-    rested = [one for one in drawn if one.rest_until <= now] or drawn
-    return [one for one in rested if one.name not in avoid] or rested
+    sampled = rng.sample(known, min(limit, len(known)))
+    usable = [
+        endpoint for endpoint in sampled if endpoint.ejected_until <= now
+    ] or sampled
+    return [
+        endpoint for endpoint in usable if endpoint.name not in avoid
+    ] or usable
 
 
-def pick(
-    drawn: list[Known],
+def select_candidates(
+    sampled: list[KnownEndpoint],
     index: loadindex.LoadIndex,
-    places: Places,
+    counts: CandidateCounts,
     zone: str,
     slots: int,
-) -> list[Known]:
-    """Return the engines to compare, of each kind as many as it has places.
+) -> list[KnownEndpoint]:
+    """Return the engines to compare, up to the count of each kind.
 
-    Half of the places are kept for engines of the own availability zone, as
-    bytes between zones are dear. Places that a kind does not fill go to the
-    others. `slots` is the size of a batch.
+    Half of each count is reserved for engines of `zone`, as traffic between
+    availability zones is expensive. Counts that a kind does not fill go to the
+    other kinds. `slots` is the size of a batch.
     """
-    if len(drawn) <= places.total:
-        return drawn
-    kinds: tuple[list[Known], list[Known], list[Known]] = ([], [], [])
-    for one in shortest_queue_first(drawn, index, slots):
-        load = index.at(one.name)
-        kinds[2 if load.is_reading else 1 if load.works else 0].append(one)
-    limits = (places.idle, places.writing, places.reading)
-    picked, left = [], []
-    for found, limit in zip(kinds, limits, strict=True):
-        chosen = balanced(found, limit, zone)
-        names = {one.name for one in chosen}
+    if len(sampled) <= counts.total:
+        return sampled
+    kinds: tuple[
+        list[KnownEndpoint], list[KnownEndpoint], list[KnownEndpoint]
+    ] = ([], [], [])
+    for endpoint in sort_by_queue(sampled, index, slots):
+        load = index.at(endpoint.name)
+        kinds[2 if load.is_prefilling else 1 if load.works else 0].append(
+            endpoint
+        )
+    limits = (counts.idle, counts.decoding, counts.prefilling)
+    picked, unpicked = [], []
+    for candidates, limit in zip(kinds, limits, strict=True):
+        chosen = balance_zones(candidates, limit, zone)
+        names = {endpoint.name for endpoint in chosen}
         picked += chosen
-        left += [one for one in found if one.name not in names]
-    return picked + left[: places.total - len(picked)]
+        unpicked += [
+            endpoint for endpoint in candidates if endpoint.name not in names
+        ]
+    return picked + unpicked[: counts.total - len(picked)]
 
 
-def shortest_queue_first(
-    drawn: Iterable[Known], index: loadindex.LoadIndex, slots: int
-) -> list[Known]:
-    """Return endpoints by how much work is over their batch.
+def sort_by_queue(
+    sampled: Iterable[KnownEndpoint], index: loadindex.LoadIndex, slots: int
+) -> list[KnownEndpoint]:
+    """Return endpoints sorted by the number of requests over their batch.
 
-    What is late already is served after others and does not count.
-    Those with room stay in their order: taking the least busy of them would
-    spread short prompts over engines that long ones could be read on.
+    Late requests do not count, as they are served after others. Endpoints with
+    room keep their order: sorting them by load would spread short prompts over
+    engines that long prompts could be prefilled on.
     """
 
-    def queue(one: Known) -> int:
-        late = len(index.late.get(one.name, ()))
-        return max(0, len(index.at(one.name).works) - late + 1 - slots)
+    def queue(endpoint: KnownEndpoint) -> int:
+        late = len(index.late.get(endpoint.name, ()))
+        return max(0, len(index.at(endpoint.name).works) - late + 1 - slots)
 
-    return sorted(drawn, key=queue)
+    return sorted(sampled, key=queue)
 
 
-def balanced(found: list[Known], limit: int, zone: str) -> list[Known]:
-    """Return up to `limit` endpoints, half of them from the zone if it can."""
-    near = [one for one in found if is_near(one, zone)]
-    far = [one for one in found if not is_near(one, zone)]
+def balance_zones(
+    candidates: list[KnownEndpoint], limit: int, zone: str
+) -> list[KnownEndpoint]:
+    """Return up to `limit` endpoints, half of them in the zone if possible."""
+    near = [endpoint for endpoint in candidates if is_in_zone(endpoint, zone)]
+    far = [
+        endpoint for endpoint in candidates if not is_in_zone(endpoint, zone)
+    ]
     kept = min(len(near), max(limit // 2, limit - len(far)))
     return near[:kept] + far[: limit - kept]
 
 
-def is_near(one: Known, zone: str) -> bool:
+def is_in_zone(endpoint: KnownEndpoint, zone: str) -> bool:
     """Return whether an endpoint is in a zone."""
-    return one.announcement.availability_zone == zone
+    return endpoint.announcement.availability_zone == zone
--- a/src/_coltsfootroad/core/registry.py
+++ b/src/_coltsfootroad/core/registry.py
@@ -1,9 +1,10 @@
-"""Endpoints as they announce themselves, with leases and incarnations.
+"""Registry of the endpoints' announcements, with leases and incarnations.
 
-An endpoint may start again under the name that it had. Its incarnation, where
-it states one, tells the starts apart: a later one replaces everything that was
-known, and no delayed word of an earlier one counts again. A sign-off states no
-incarnation, so one that comes soon after a restart may be the earlier start's.
+An endpoint may restart under the same name. Its incarnation, if it states one,
+distinguishes the starts: a later incarnation replaces all that is known of the
+name, and delayed announcements of earlier ones are ignored. A sign-off states
+no incarnation, so one that arrives soon after a restart may come from the
+earlier incarnation.
 """
 
 import enum
@@ -12,25 +13,25 @@
 
 from _coltsfootroad.core import servicekind
 
-# The incarnation of an endpoint that states none. Such an endpoint uses a new
-# name for each start, or lets its lease run out in between.
-UNMARKED = 0
-# Signing off carries no number and supersedes every announcement.
-LAST_SEQ = 2**62
-# How long an ended incarnation is remembered, so that an announcement that
-# was delayed on the way cannot revive it.
+# Stands for the incarnation of an endpoint that states none. Such an endpoint
+# uses a new name for each start, or lets its lease expire in between.
+NO_INCARNATION = 0
+# A sign-off carries no number and supersedes every announcement.
+SIGN_OFF_SEQ = 2**62
+# Lifetime of a tombstone, which keeps delayed announcements from reviving an
+# incarnation that has ended.
 TOMBSTONE_S = 300.0
-# A sign-off within this time of a restart may have been sent by the start
-# before; announcements come seconds late at most.
-DOUBT_S = 10.0
-# An endpoint whose sign-off is in doubt counts again once two announcements
-# this far apart have come after it. Those that an endpoint sends before it
-# signs off arrive together if they are late.
-REVIVAL_S = 1.0
+# A sign-off within this time after a restart may come from the incarnation
+# before, as announcements are seconds late at most.
+UNCERTAIN_SIGN_OFF_S = 10.0
+# An endpoint with an uncertain sign-off counts again after two announcements
+# that arrive this far apart. Late announcements from before the sign-off arrive
+# together.
+MIN_RENEWAL_SPAN_S = 1.0
 
 
 class EndpointState(enum.Enum):
-    """What an endpoint says of itself."""
+    """State that an endpoint announces."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -39,19 +40,19 @@
 
 @attrs.frozen(kw_only=True)
 class Announcement:
-    """What an endpoint says of itself, renewed while it lives.
+    """An endpoint's description of itself, renewed while it runs.
 
     Attributes:
-        endpoint: Name, unique over the fleet.
-        incarnation: Grows with every start of the endpoint.
-        seq: Grows with every announcement of an incarnation.
-        service: Service that it serves.
+        endpoint: Name, unique in the fleet.
+        incarnation: Increases with every start of the endpoint.
+        seq: Increases with every announcement of an incarnation.
+        service: Name of the service.
         kind: Engine or plain service.
-        address: `ip:port` that takes requests.
-        availability_zone: Where it runs.
+        address: `ip:port` for requests.
+        availability_zone: Zone in which it runs.
         state: Serving, leaving or gone.
-        kv_tokens: KV cache size in tokens, engines only.
-        max_running: Requests that it batches at once.
+        kv_tokens: Size of the KV cache in tokens, engines only.
+        max_running: Size of a batch.
         models: Models that are loaded and ready.
     """
 
@@ -77,13 +78,14 @@
 
 
 @attrs.frozen(kw_only=True)
-class Ended:
-    """The starts of one name that have ended.
+class Tombstone:
+    """The ended incarnations of one name.
 
     Attributes:
-        incarnation: The latest of them.
-        until: When this is forgotten.
-        replaced_at: When a later start took the name over, None if none has.
+        incarnation: The latest ended incarnation.
+        until: Time at which the tombstone is dropped.
+        replaced_at: Time at which a later incarnation replaced the ended one,
+            None if there is none.
     """
 
     incarnation: int
@@ -92,22 +94,22 @@
 
 
 @attrs.define
-class Doubt:
-    """A sign-off that may have been an earlier start's.
+class UncertainSignOff:
+    """A sign-off that may come from an earlier incarnation.
 
     Attributes:
-        incarnation: The start that it was taken for, None if none was known.
-        seq: The newest announcement of that start.
-        heard_at: When the first announcement after the sign-off came.
+        incarnation: Incarnation that it was applied to, None if none was known.
+        seq: Number of the newest announcement of that incarnation.
+        renewed_at: Arrival of the first announcement after the sign-off.
     """
 
     incarnation: int | None = None
     seq: int = -1
-    heard_at: float | None = None
+    renewed_at: float | None = None
 
 
 class Change(enum.Enum):
-    """What an announcement changed."""
+    """Effect of an announcement on the registry."""
 
     NONE = "none"
     RENEWED = "renewed"
@@ -116,36 +118,36 @@
 
 @attrs.define
 class Registry:
-    """Keeps the newest announcement of each endpoint while its lease lasts."""
+    """Holds the newest announcement of each endpoint until its lease ends."""
 
     registrations: dict[str, Registration] = attrs.Factory(dict)
-    tombstones: dict[str, Ended] = attrs.Factory(dict)
-    doubts: dict[str, Doubt] = attrs.Factory(dict)
+    tombstones: dict[str, Tombstone] = attrs.Factory(dict)
+    uncertain_sign_offs: dict[str, UncertainSignOff] = attrs.Factory(dict)
 
     def announce(
         self,
         announcement: Announcement,
         lease_until: float,
         now: float,
-        first_hand: bool = True,
+        from_endpoint: bool = True,
     ) -> Change:
-        """Take an announcement unless a newer one is known.
+        """Apply an announcement unless a newer one is known.
 
-        `first_hand` says that the endpoint itself sent it just now; what
-        others remember of an endpoint settles no doubt.
+        `from_endpoint` states that the endpoint itself has just sent it.
+        Announcements that others remember resolve no uncertain sign-off.
         """
         name = announcement.endpoint
         known = self.registrations.get(name)
         if announcement.state is EndpointState.GONE:
-            return self.sign_off(announcement, known, now, first_hand)
+            return self.sign_off(announcement, known, now, from_endpoint)
         if self.has_ended(announcement):
             return Change.NONE
         if known is not None and not is_newer(announcement, known.announcement):
             return Change.NONE
-        if not self.settles_doubt(announcement, now, first_hand):
+        if not self.resolves_sign_off(announcement, now, from_endpoint):
             return Change.NONE
         if known is not None:
-            announcement = self.follow(announcement, known.announcement, now)
+            announcement = self.supersede(announcement, known.announcement, now)
         self.registrations[name] = Registration(announcement, lease_until)
         if known is None:
             return Change.UPDATED
@@ -155,31 +157,32 @@
         return Change.UPDATED
 
     def has_ended(self, announcement: Announcement) -> bool:
-        """Return whether an announcement is of a start that has ended.
+        """Return whether an announcement is of an incarnation that has ended.
 
-        One that states no incarnation is no late word of a start that did.
+        One without an incarnation is not a late announcement of an incarnation
+        that stated one.
         """
-        ended = self.tombstones.get(announcement.endpoint)
-        if ended is None:
+        tombstone = self.tombstones.get(announcement.endpoint)
+        if tombstone is None:
             return False
-        if announcement.incarnation == UNMARKED and ended.replaced_at:
-            return ended.incarnation == UNMARKED
-        return announcement.incarnation <= ended.incarnation
+        if announcement.incarnation == NO_INCARNATION and tombstone.replaced_at:
+            return tombstone.incarnation == NO_INCARNATION
+        return announcement.incarnation <= tombstone.incarnation
 
-    def follow(
-        self, announcement: Announcement, before: Announcement, now: float
+    def supersede(
+        self, announcement: Announcement, previous: Announcement, now: float
     ) -> Announcement:
-        """Return an announcement as it counts after the one before it."""
-        if announcement.incarnation != before.incarnation:
-            self.tombstones[before.endpoint] = Ended(
-                incarnation=before.incarnation,
+        """Return an announcement, adjusted by the state of its predecessor."""
+        if announcement.incarnation != previous.incarnation:
+            self.tombstones[previous.endpoint] = Tombstone(
+                incarnation=previous.incarnation,
                 until=now + TOMBSTONE_S,
                 replaced_at=now,
             )
             return announcement
-        if before.state is EndpointState.LEAVING:
-            # An endpoint that has begun to leave never comes back under
-            # the same incarnation.
+        if previous.state is EndpointState.LEAVING:
+            # An endpoint that has begun to leave never serves again under the
+            # same incarnation.
             return attrs.evolve(announcement, state=EndpointState.LEAVING)
         return announcement
 
@@ -188,114 +191,121 @@
         announcement: Announcement,
         known: Registration | None,
         now: float,
-        first_hand: bool,
+        from_endpoint: bool,
     ) -> Change:
-        """Take a sign-off; one without an incarnation is the known start's.
+        """Apply a sign-off.
 
-        Others who remember it mean the start that stated no incarnation.
+        Without an incarnation it ends the known one if the endpoint sent it,
+        and the one that states no incarnation if others remember it.
         """
         name = announcement.endpoint
         incarnation = announcement.incarnation
-        latest = UNMARKED if known is None else known.announcement.incarnation
-        if incarnation == UNMARKED and first_hand:
+        latest = (
+            NO_INCARNATION if known is None else known.announcement.incarnation
+        )
+        if incarnation == NO_INCARNATION and from_endpoint:
             incarnation = latest
         if known is not None and incarnation < latest:
             return Change.NONE
-        if first_hand and self.is_doubtful(announcement, known, now):
+        if from_endpoint and self.is_uncertain(announcement, known, now):
             newest = known.announcement
-            self.doubts[name] = Doubt(newest.incarnation, newest.seq)
+            self.uncertain_sign_offs[name] = UncertainSignOff(
+                newest.incarnation, newest.seq
+            )
             del self.registrations[name]
         else:
-            self.bury(name, incarnation, now)
-        states_none = announcement.incarnation == UNMARKED
-        if first_hand and known is None and states_none:
-            # Which start it ended is not known here.
-            self.doubts[name] = Doubt()
+            self.add_tombstone(name, incarnation, now)
+        lacks_incarnation = announcement.incarnation == NO_INCARNATION
+        if from_endpoint and known is None and lacks_incarnation:
+            # It is unknown which incarnation this ends.
+            self.uncertain_sign_offs[name] = UncertainSignOff()
         return Change.UPDATED
 
-    def is_doubtful(
+    def is_uncertain(
         self,
         announcement: Announcement,
         known: Registration | None,
         now: float,
     ) -> bool:
-        """Return whether an earlier start may have sent a sign-off."""
+        """Return whether an earlier incarnation may have sent a sign-off."""
         if known is None:
             return False
         newest = known.announcement
-        if announcement.incarnation != UNMARKED:
+        if announcement.incarnation != NO_INCARNATION:
             return False
         if newest.state is EndpointState.LEAVING:
             return False
-        ended = self.tombstones.get(newest.endpoint)
-        if ended is None or ended.replaced_at is None:
+        tombstone = self.tombstones.get(newest.endpoint)
+        if tombstone is None or tombstone.replaced_at is None:
             return False
-        return now - ended.replaced_at < DOUBT_S
+        return now - tombstone.replaced_at < UNCERTAIN_SIGN_OFF_S
 
-    def settles_doubt(
-        self, announcement: Announcement, now: float, first_hand: bool
+    def resolves_sign_off(
+        self, announcement: Announcement, now: float, from_endpoint: bool
     ) -> bool:
-        """Return whether an endpoint counts in spite of a sign-off."""
-        doubt = self.doubts.get(announcement.endpoint)
-        if doubt is None:
+        """Return whether an endpoint counts despite an uncertain sign-off."""
+        uncertain = self.uncertain_sign_offs.get(announcement.endpoint)
+        if uncertain is None:
             return True
-        if doubt.incarnation is None and first_hand:
-            doubt.incarnation = announcement.incarnation
-        if doubt.incarnation is None:
+        if uncertain.incarnation is None and from_endpoint:
+            uncertain.incarnation = announcement.incarnation
+        if uncertain.incarnation is None:
             return False
-        settled = announcement.incarnation > doubt.incarnation
-        if announcement.incarnation == doubt.incarnation and first_hand:
-            settled = goes_on(doubt, announcement, now)
-        if settled:
-            del self.doubts[announcement.endpoint]
-        return settled
-
-    def bury(self, name: str, incarnation: int, now: float) -> None:
-        """Forget an endpoint and refuse this incarnation from now on."""
+        is_resolved = announcement.incarnation > uncertain.incarnation
+        if announcement.incarnation == uncertain.incarnation and from_endpoint:
+            is_resolved = keeps_announcing(uncertain, announcement, now)
+        if is_resolved:
+            del self.uncertain_sign_offs[announcement.endpoint]
+        return is_resolved
+
+    def add_tombstone(self, name: str, incarnation: int, now: float) -> None:
+        """Remove an endpoint and refuse this incarnation from now on."""
         self.registrations.pop(name, None)
-        self.doubts.pop(name, None)
-        ended = self.tombstones.get(name)
-        if ended is not None:
-            incarnation = max(incarnation, ended.incarnation)
-        self.tombstones[name] = Ended(
+        self.uncertain_sign_offs.pop(name, None)
+        tombstone = self.tombstones.get(name)
+        if tombstone is not None:
+            incarnation = max(incarnation, tombstone.incarnation)
+        self.tombstones[name] = Tombstone(
             incarnation=incarnation, until=now + TOMBSTONE_S
         )
 
-    def left_for_good(self, name: str) -> int | None:
-        """Return the last start that has ended, None if one may go on."""
-        ended = self.tombstones.get(name)
-        if ended is None or ended.replaced_at is not None:
+    def final_incarnation(self, name: str) -> int | None:
+        """Return the last ended incarnation, None if a later one may run."""
+        tombstone = self.tombstones.get(name)
+        if tombstone is None or tombstone.replaced_at is not None:
             return None
-        return ended.incarnation
+        return tombstone.incarnation
 
     def expire(self, now: float) -> list[str]:
-        """Drop ended leases and old tombstones; return the dropped names.
+        """Drop ended leases and old tombstones; return names of ended leases.
 
-        A lease that ran out buries nothing: the endpoint may only have been
-        cut off and renews under the same incarnation.
+        The end of a lease leaves no tombstone: the endpoint may only have been
+        disconnected, and renews under the same incarnation.
         """
-        lapsed = [
+        expired = [
             name
             for name, known in self.registrations.items()
             if known.lease_until <= now
         ]
-        for name in lapsed:
+        for name in expired:
             del self.registrations[name]
-        for name, ended in list(self.tombstones.items()):
-            if ended.until <= now:
+        for name, tombstone in list(self.tombstones.items()):
+            if tombstone.until <= now:
                 del self.tombstones[name]
-                self.doubts.pop(name, None)
-        return lapsed
+                self.uncertain_sign_offs.pop(name, None)
+        return expired
 
 
-def goes_on(doubt: Doubt, announcement: Announcement, now: float) -> bool:
-    """Return whether an endpoint goes on announcing itself for good."""
-    if announcement.seq <= doubt.seq:
+def keeps_announcing(
+    uncertain: UncertainSignOff, announcement: Announcement, now: float
+) -> bool:
+    """Return whether announcements continue after an uncertain sign-off."""
+    if announcement.seq <= uncertain.seq:
         return False
-    doubt.seq = announcement.seq
-    if doubt.heard_at is None:
-        doubt.heard_at = now
-    return now - doubt.heard_at >= REVIVAL_S
+    uncertain.seq = announcement.seq
+    if uncertain.renewed_at is None:
+        uncertain.renewed_at = now
+    return now - uncertain.renewed_at >= MIN_RENEWAL_SPAN_S
 
 
 def is_newer(announcement: Announcement, known: Announcement) -> bool:
@@ -304,10 +314,10 @@
     return new_mark > (known.incarnation, known.seq)
 
 
-def signed_off(
-    endpoint: str, incarnation: int = UNMARKED, seq: int = LAST_SEQ
+def sign_off_announcement(
+    endpoint: str, incarnation: int = NO_INCARNATION, seq: int = SIGN_OFF_SEQ
 ) -> Announcement:
-    """Return the announcement that an endpoint has ended."""
+    """Return an announcement of the end of an endpoint."""
     return Announcement(
         endpoint=endpoint,
         incarnation=incarnation,
