--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -140,8 +140,8 @@
         "a replica that has just started waits a whole election pause",
         (
             SOURCES + "control/electiontimer.py",
-            "            pause = self.rng.uniform(0.0, FIRST_PAUSE_MAX_S)",
-            "            pause = self.rng.uniform(ELECTION_MIN_S, ELECTION_MAX_S)",
+            "            pause = self.rng.uniform(0.0, COLD_START_TIMEOUT_MAX_S)",
+            "            pause = self.rng.uniform(ELECTION_TIMEOUT_MIN_S, ELECTION_TIMEOUT_MAX_S)",
         ),
         (
             SOURCES + "control/raft.py",
--- a/features/steps/controlquarantine_steps.py
+++ b/features/steps/controlquarantine_steps.py
@@ -265,8 +265,8 @@
     state = context.site.leader().node.state
     (entry,) = state.quarantine.entries.values()
     assert entry.trials == 1
-    wall = context.site.leader().node.wall()
-    started = wall - (context.site.now - context.asked_at)
+    wall_clock = context.site.leader().node.wall_clock()
+    started = wall_clock - (context.site.now - context.asked_at)
     assert abs(entry.trial_at - started - seconds) < 1.0, entry
 
 
--- a/features/steps/elections_steps.py
+++ b/features/steps/elections_steps.py
@@ -53,7 +53,7 @@
             log.append(first)
             raft = raft_lib.Raft(replica.identity, self.rng, log=log)
             raft.timer.started_at = self.now - 10.0
-            raft.timer.heard_leader_at = self.now - 10.0
+            raft.timer.leader_contact_at = self.now - 10.0
             raft.timer.reset(self.now)
             self.rafts[replica.identity] = raft
 
@@ -87,7 +87,7 @@
             if ready.is_empty():
                 return
             if ready.entries:
-                raft.synced(ready.entries[-1].index, self.now)
+                raft.on_synced(ready.entries[-1].index, self.now)
             for outgoing in ready.messages:
                 due = self.now + DELAY_S
                 item = (due, next(self.order), identity, outgoing.to)
@@ -214,7 +214,7 @@
 def hands_over_cut(context, after):
     cluster = context.cluster
     (context.old,) = cluster.leaders()
-    cluster.rafts[context.old].hand_over(cluster.now)
+    cluster.rafts[context.old].transfer_leadership(cluster.now)
     cluster.carry_out(context.old)
     cluster.run(after * DELAY_S)
     cluster.cut = {context.old}
@@ -296,7 +296,7 @@
         cluster.frozen = {rng.choice(names)}
     elif what == "hand over":
         for identity in cluster.leaders():
-            cluster.rafts[identity].hand_over(cluster.now)
+            cluster.rafts[identity].transfer_leadership(cluster.now)
     else:
         cluster.cut.clear()
         cluster.frozen.clear()
@@ -324,7 +324,7 @@
     started = ASKED_AT - (ago_s if words[0] == "started" else 9.0)
     raft = raft_lib.Raft(ME, random.Random(1), log=log, started_at=started)
     if words[0] == "heard":
-        raft.follow(OTHER, ASKED_AT - ago_s)
+        raft.on_leader_contact(OTHER, ASKED_AT - ago_s)
     elif words[0] in ("leads", "led"):
         led_at = ASKED_AT - ago_s
         raft.set_hard_state(ready_lib.HardState(term=1, vote=ME))
@@ -409,7 +409,7 @@
 def failed_elections(context, count):
     raft = raft_lib.Raft("a#d", random.Random(1))
     for _ in range(count):
-        raft.timer.note_failed(100.0)
+        raft.timer.record_failure(100.0)
     context.timer = raft.timer
 
 
--- a/features/steps/faultydisk_steps.py
+++ b/features/steps/faultydisk_steps.py
@@ -54,7 +54,7 @@
         return Error(failure)
 
     context.patches = (
-        mock.patch.object(node_lib, "SNAPSHOT_EVERY", 4),
+        mock.patch.object(node_lib, "SNAPSHOT_ENTRIES", 4),
         mock.patch.object(controlmachine.FaultyDisk, "save_snapshot", refuse),
     )
 
--- a/features/steps/flow_steps.py
+++ b/features/steps/flow_steps.py
@@ -148,7 +148,7 @@
 def old_leader_back(context, size, gap):
     links = context.links
     context.size, context.gap = size, gap
-    lacked = links.leader.log.slice(links.leader.term_start, 1 << 40)
+    lacked = links.leader.log.slice(links.leader.term_start_index, 1 << 40)
     context.lacks = sum(len(entry.data) for entry in lacked)
     context.before = sent_to_old(context)
     links.cut = set()
@@ -250,7 +250,7 @@
     wanted = replicas.ReplicaSet(voters=voters[:3])
     assert raft.change_replicas(wanted, logpairs.NOW)
     raft.take_ready()
-    raft.synced(raft.log.last_index, logpairs.NOW)
+    raft.on_synced(raft.log.last_index, logpairs.NOW)
 
 
 def respond(context, voter, match: int) -> None:
--- a/features/steps/quorum_steps.py
+++ b/features/steps/quorum_steps.py
@@ -87,7 +87,7 @@
         if not raft.identity.startswith(context.lagging):
             right(raft, message, now)
             return
-        raft.follow(message.sender, now)
+        raft.on_leader_contact(message.sender, now)
         raft.reply_append(message, False, raft.commit)
 
     logs = {}
--- a/features/steps/repairdefects_steps.py
+++ b/features/steps/repairdefects_steps.py
@@ -48,7 +48,7 @@
     leader = site.leader()
     now = site.clock(leader)
     leader.node.raft.progress[identity].current_at = now - 5.0
-    return identity in leader.node.watch.view(now).lagging
+    return identity in leader.node.voter_monitor.view(now).lagging
 
 
 def elects_one_of_two() -> bool:
--- a/features/steps/replacement_steps.py
+++ b/features/steps/replacement_steps.py
@@ -146,5 +146,5 @@
     assert "d" in site.voters(), site.voters()
     entries = site.leader().node.raft.log.entries
     sets = [e.replica_set for e in entries if e.replica_set is not None]
-    known = [any("d#" in i for i in found.everyone()) for found in sets]
+    known = [any("d#" in i for i in found.by_identity()) for found in sets]
     assert all(known[known.index(True) :]), known
--- a/features/steps/watch_steps.py
+++ b/features/steps/watch_steps.py
@@ -229,9 +229,9 @@
         learners = (slow, new)
         silences[slow.identity] = 0.1
     current = replicas.ReplicaSet(voters=tuple(voters), learners=learners)
-    change = decide.to_learn(new, current)
+    change = decide.plan_learner(new, current)
     if change is None:
-        change = decide.to_promote(current, silences, caught_up)
+        change = decide.plan_promotion(current, silences, caught_up)
     wanted = {
         "made a learner": (messages.ReplicaAction.LEARN, ""),
         "promoted": (messages.ReplicaAction.PROMOTE, ""),
@@ -247,7 +247,7 @@
     """Return what keeps a replica from learning beside three voters."""
     decide = membership_lib.Membership(required_voters=3)
     current = replicas.ReplicaSet(voters=tuple(replica(n) for n in "abc"))
-    return decide.unfit(new, current, {"b#d": silence_s, "c#d": 0.1})
+    return decide.join_refusal(new, current, {"b#d": silence_s, "c#d": 0.1})
 
 
 @then('a vote for a replica {that} is refused as "{reason}"')
@@ -285,7 +285,7 @@
     )
     silences = {f"{n}#d": 0.1 for n in "bcde"[: voters - 1]}
     silences["b#d"] = seconds
-    change = decide.to_remove(current, silences)
+    change = decide.plan_removal(current, silences)
     assert (change is not None) == (fate == "is retired"), change
 
 
@@ -295,7 +295,7 @@
         replica=replica("a"),
         storage=storage.MemoryStorage(),
         send=lambda *_: None,
-        wall=lambda: 0.0,
+        wall_clock=lambda: 0.0,
         rng=random.Random(1),
         membership=membership_lib.Membership(required_voters=needed),
     )
--- a/features/support/controlmachine.py
+++ b/features/support/controlmachine.py
@@ -184,7 +184,7 @@
             replica=self.identity(replica),
             storage=replica.disk,
             send=self.sender(replica),
-            wall=lambda: UNIX_START + self.now,
+            wall_clock=lambda: UNIX_START + self.now,
             rng=random.Random(self.rng.random()),
             started_at=self.clock(replica),
             all_applied=self.applied,
@@ -562,11 +562,11 @@
         node = self.cluster.replicas[name].node
         if node is None or node.is_blocked or not node.raft.applied:
             return
-        limit, node_lib.SNAPSHOT_EVERY = node_lib.SNAPSHOT_EVERY, 1
+        limit, node_lib.SNAPSHOT_ENTRIES = node_lib.SNAPSHOT_ENTRIES, 1
         try:
             node.maybe_snapshot(self.cluster.clock(self.cluster.replicas[name]))
         finally:
-            node_lib.SNAPSHOT_EVERY = limit
+            node_lib.SNAPSHOT_ENTRIES = limit
 
     def teardown(self):
         """Heal everything; all replicas must agree and serve again."""
--- a/features/support/histories.py
+++ b/features/support/histories.py
@@ -370,7 +370,7 @@
     cluster = machine.cluster
     for name in names:
         replica = cluster.replicas[name]
-        due = cluster.clock(replica) + electiontimer.ELECTION_MIN_S
+        due = cluster.clock(replica) + electiontimer.ELECTION_TIMEOUT_MIN_S
         replica.node.raft.timer.election_at = due
         cluster.plan_tick(replica)
 
--- a/features/support/lateprocesses.py
+++ b/features/support/lateprocesses.py
@@ -60,7 +60,7 @@
     def leads(self) -> bool:
         """Return whether it leads, with an entry of its term committed."""
         raft = self.raft
-        return raft.is_leader and raft.applied >= raft.term_start
+        return raft.is_leader and raft.applied >= raft.term_start_index
 
 
 @attrs.define(eq=False)
@@ -99,8 +99,8 @@
             log.append(first)
             raft = raft_lib.Raft(voter.identity, self.rng, log=log)
             raft.timer.started_at = self.now - 10.0
-            raft.timer.heard_leader_at = self.now - 10.0
-            raft.timer.ticked = True
+            raft.timer.leader_contact_at = self.now - 10.0
+            raft.timer.has_ticked = True
             raft.timer.reset(self.now)
             self.processes[voter.identity] = Process(raft)
 
@@ -167,7 +167,7 @@
                 begin = max(self.now, process.busy_until)
                 process.busy_until = begin + busy_s
             if ready.entries:
-                raft.synced(ready.entries[-1].index, self.now)
+                raft.on_synced(ready.entries[-1].index, self.now)
             sent_at = max(self.now, process.busy_until)
             for outgoing in ready.messages:
                 item = (sent_at + MESSAGE_S, next(self.order), outgoing.to)
--- a/features/support/logpairs.py
+++ b/features/support/logpairs.py
@@ -61,7 +61,7 @@
         source.flush_appends(self.now)
         ready = source.take_ready()
         if ready.entries:
-            source.synced(ready.entries[-1].index, self.now)
+            source.on_synced(ready.entries[-1].index, self.now)
         sent = [
             outgoing.message
             for outgoing in ready.messages
@@ -118,5 +118,5 @@
     raft = raft_of("r0", [1], count)
     raft.become_leader(NOW)
     raft.take_ready()
-    raft.synced(raft.log.last_index, NOW)
+    raft.on_synced(raft.log.last_index, NOW)
     return raft
--- a/features/support/mutants.py
+++ b/features/support/mutants.py
@@ -19,7 +19,7 @@
 from _coltsfootroad.control import ready as ready_lib
 from _coltsfootroad.control import replicas
 from _coltsfootroad.control import shares
-from _coltsfootroad.control import voterwatch
+from _coltsfootroad.control import votermonitor
 from _coltsfootroad.core import attempts
 from _coltsfootroad.core import claiming
 from _coltsfootroad.core import dispatcher
@@ -293,7 +293,7 @@
         reached = self.replica_set.quorum_value(matches)
         if reached > self.commit:
             self.commit = int(reached)
-            self.after_commit(now)
+            self.on_commit_advanced(now)
 
     return wrong
 
@@ -321,7 +321,7 @@
     return lambda self, now: self.is_leader
 
 
-@defect(CONTROL, electiontimer, "LEASE_S")
+@defect(CONTROL, electiontimer, "LEADER_LEASE_S")
 def lease_longer_than_elections(_):
     return 8.0
 
@@ -349,10 +349,10 @@
     def wrong(self, message, now):
         if message.term < self.term:
             return
-        self.follow(message.sender, now)
+        self.on_leader_contact(message.sender, now)
         for item in message.entries:
             if item.index == self.log.last_index + 1:
-                self.store_entries((item,))
+                self.append_entries((item,))
         match = message.prev_index + len(message.entries)
         match = min(match, self.log.last_index)
         self.commit = max(self.commit, min(message.commit, match))
@@ -387,7 +387,7 @@
 def spins_on_replicas_behind_the_snapshot(_):
     def wrong(self, now):
         if self.is_leader:
-            for identity in self.others():
+            for identity in self.peer_identities():
                 progress = self.progress[identity]
                 if progress.next_index <= self.log.last_index:
                     self.send_append(identity, now)
@@ -395,7 +395,7 @@
     return wrong
 
 
-@defect(CONTROL, Raft, "install")
+@defect(CONTROL, Raft, "install_snapshot")
 def snapshot_leaves_the_commit_behind(right):
     def wrong(self, meta, data):
         commit = self.commit
@@ -415,7 +415,7 @@
     return wrong
 
 
-@defect(CONTROL, Raft, "may_vote")
+@defect(CONTROL, Raft, "new_voters_have_caught_up")
 def promotes_before_catching_up(_):
     return lambda self, wanted: True
 
@@ -425,9 +425,13 @@
     def wrong(self, wanted, now):
         single = attrs.evolve(wanted, old_voters=())
         busy = self.replica_set_index() > self.commit
-        if not self.is_leader or busy or not self.may_vote(wanted):
+        if (
+            not self.is_leader
+            or busy
+            or not self.new_voters_have_caught_up(wanted)
+        ):
             return False
-        self.append_own(
+        self.append_as_leader(
             raft.log_lib.Entry(
                 term=self.term,
                 index=self.log.last_index + 1,
@@ -493,16 +497,16 @@
 Membership = membership.Membership
 
 
-@defect(REPLACING, membership, "SILENT_S")
+@defect(REPLACING, membership, "UNRESPONSIVE_AFTER_S")
 def replaces_silent_voters_late(_):
     return 8.0
 
 
-@defect(REPLACING, Membership, "can_spare")
+@defect(REPLACING, Membership, "can_remove")
 def takes_out_silent_voters_late(right):
-    def wrong(self, identity, current, silences):
-        late = silences.get(identity, 0.0) >= membership.RETIRE_S
-        return late and right(self, identity, current, silences)
+    def wrong(self, identity, current, reply_ages):
+        late = reply_ages.get(identity, 0.0) >= membership.REMOVE_AFTER_S
+        return late and right(self, identity, current, reply_ages)
 
     return wrong
 
@@ -512,7 +516,7 @@
     return float("inf")
 
 
-@defect(REPLACING, membership, "wanted_set")
+@defect(REPLACING, membership, "requested_set")
 def removed_voters_still_count(right):
     def wrong(current, message):
         if message.action is messages.ReplicaAction.REMOVE:
@@ -522,9 +526,9 @@
     return wrong
 
 
-@defect(REPLACING, Membership, "to_promote")
+@defect(REPLACING, Membership, "plan_promotion")
 def learners_wait_to_be_promoted_by_hand(_):
-    return lambda self, current, silences, caught_up: None
+    return lambda self, current, reply_ages, caught_up: None
 
 
 # --- repair of logs, and what a replica knows of others ---------------------
@@ -532,7 +536,7 @@
 Progress = progress.Progress
 
 
-@defect(REPAIRING, Progress, "room")
+@defect(REPAIRING, Progress, "available_bytes")
 def sends_entries_while_it_probes(_):
     def wrong(self):
         under_way = sum(batch.size for batch in self.batches)
@@ -542,7 +546,7 @@
     return property(wrong)
 
 
-@defect(REPAIRING, Progress, "note_rejected")
+@defect(REPAIRING, Progress, "record_rejection")
 def acts_on_every_rejection(right):
     def wrong(self, prev_index, common_index):
         right(self, prev_index, common_index)
@@ -551,7 +555,7 @@
     return wrong
 
 
-@defect(REPAIRING, Progress, "note_match")
+@defect(REPAIRING, Progress, "record_match")
 def never_leaves_the_search(right):
     def wrong(self, match, now):
         right(self, match, now)
@@ -565,10 +569,10 @@
     return 1e9
 
 
-@defect(REPAIRING, voterwatch.VoterWatch, "silences")
+@defect(REPAIRING, votermonitor.VoterMonitor, "reply_ages")
 def a_learner_is_silent_since_the_election(_):
     def wrong(self, now):
-        since = max(self.raft.led_since, self.since)
+        since = max(self.raft.leader_since, self.since)
         return {
             identity: now - max(found.acked_at, since)
             for identity, found in self.raft.progress.items()
@@ -578,7 +582,7 @@
     return wrong
 
 
-@defect(REPAIRING, voterwatch.VoterWatch, "lags")
+@defect(REPAIRING, votermonitor.VoterMonitor, "commit_lags")
 def a_voter_that_lags_counts(_):
     return lambda self, now: {}
 
--- a/features/support/ratedlinks.py
+++ b/features/support/ratedlinks.py
@@ -109,7 +109,9 @@
     def leader_led(self) -> bool:
         """Return whether the leader has been one for a while."""
         leader = getattr(self, "leader", None)
-        return leader is not None and leader.commit >= leader.term_start > 0
+        return (
+            leader is not None and leader.commit >= leader.term_start_index > 0
+        )
 
     def deliver(self) -> None:
         """Hand over the messages that have arrived."""
@@ -132,7 +134,7 @@
                 at += self.sync_s
                 self.disks[identity] = at
             if ready.entries:
-                raft.synced(ready.entries[-1].index, self.now)
+                raft.on_synced(ready.entries[-1].index, self.now)
             for outgoing in ready.messages:
                 size = len(wirecalls.PEERS.encode(outgoing.message)) + 60
                 link = self.links[identity]
--- a/features/support/replacements.py
+++ b/features/support/replacements.py
@@ -31,7 +31,7 @@
 PROMISED_S = 2.5
 # Longest from the last event of a history to the end of what it leads to:
 # a start, the promised time and an election.
-CALM_S = START_S + PROMISED_S + electiontimer.ELECTION_MAX_S
+CALM_S = START_S + PROMISED_S + electiontimer.ELECTION_TIMEOUT_MAX_S
 STEP = re.compile(r"(?P<who>\w+) (?P<verb>[a-z ]+?)(?: for (?P<s>[\d.]+) s)?$")
 WAIT = re.compile(r"(?P<s>[\d.]+) s$")
 
@@ -70,9 +70,9 @@
             node = replica.node
             if not self.is_up(replica.name) or replica.name in self.stopping:
                 continue
-            if node.watch.has_no_vote(self.clock(replica)):
+            if node.voter_monitor.should_join(self.clock(replica)):
                 self.ask_leader(replica)
-        self.at(self.now + membership.JOIN_EVERY_S, self.ask)
+        self.at(self.now + membership.JOIN_INTERVAL_S, self.ask)
 
     def ask_leader(self, replica: controlmachine.SimReplica) -> None:
         """Ask the leader for a replica's vote, where it can be reached."""
@@ -141,7 +141,9 @@
         """Tell a replica to stop; its VM goes for good after that."""
         replica = self.replicas[name]
         self.stopping.add(name)
-        self.guard(replica, replica.node.hand_over, self.clock(replica))
+        self.guard(
+            replica, replica.node.transfer_leadership, self.clock(replica)
+        )
         self.at(self.now + LEAVE_EVERY_S, self.leave, replica)
         self.at(self.now + STOP_S, self.gone, name)
 
--- a/features/support/survivors.py
+++ b/features/support/survivors.py
@@ -51,7 +51,7 @@
     )
     if contact is not None:
         raft.leader = LOST
-        raft.timer.heard_leader_at = BEGIN - contact
+        raft.timer.leader_contact_at = BEGIN - contact
         raft.timer.reset(BEGIN - contact)
     return raft
 
--- a/src/_coltsfootroad/control/membership.py
+++ b/src/_coltsfootroad/control/membership.py
@@ -21,15 +21,15 @@
 # gives its place to a replica that has caught up, and is taken out where the
 # set bears too little with it. If it was only frozen it asks for a vote when
 # it is back, and has one about a second later, with all that it had stored.
-SILENT_S = 1.0
+UNRESPONSIVE_AFTER_S = 1.0
 # Who has answered one of its last three heartbeats runs: a learner that has
 # not gets no vote, a voter that has keeps its name and address to itself.
-ANSWERED_S = 0.35
+RESPONSIVE_WITHIN_S = 0.35
 # A voter without which the set bears as much is taken out after this long; it
 # costs no tolerance, and most that fall silent are back within seconds.
-RETIRE_S = 10.0
+REMOVE_AFTER_S = 10.0
 # How often a replica without a vote asks for one.
-JOIN_EVERY_S = 0.5
+JOIN_INTERVAL_S = 0.5
 # A voter that hears no leader for this long asks whether it is one still: it
 # may have lost its vote while it stood still, and those left do not call it.
 REJOIN_AFTER_S = 1.0
@@ -39,7 +39,8 @@
 class Membership:
     """Decides changes of the replica set; only the leader asks.
 
-    Silences are seconds since each other replica answered, by identity.
+    `reply_ages` are seconds since the last reply of each other replica, by
+    identity.
 
     Attributes:
         required_voters: Voters that must exist before anything is
@@ -50,7 +51,7 @@
     required_voters: int = 1
 
     @property
-    def losses(self) -> int:
+    def max_failures(self) -> int:
         """Return how many voters may be lost at once."""
         return (self.required_voters - 1) // 2
 
@@ -58,11 +59,11 @@
         """Return whether what a quorum holds survives the losses allowed."""
         return len(current.voters) >= self.required_voters
 
-    def unfit(
+    def join_refusal(
         self,
         replica: replicas.Replica,
         current: replicas.ReplicaSet,
-        silences: dict[str, float],
+        reply_ages: dict[str, float],
     ) -> str:
         """Return why a replica may not ask for a vote, empty if it may.
 
@@ -74,7 +75,7 @@
                 return f"the replica needs {field}, which is empty"
         for voter in current.voters:
             # The leader is not among the silences: it runs.
-            answers = silences.get(voter.identity, 0.0) < ANSWERED_S
+            answers = reply_ages.get(voter.identity, 0.0) < RESPONSIVE_WITHIN_S
             if voter.identity == replica.identity or not answers:
                 continue
             for field in ("name", "address"):
@@ -85,11 +86,11 @@
                     )
         return ""
 
-    def to_learn(
+    def plan_learner(
         self, replica: replicas.Replica, current: replicas.ReplicaSet
     ) -> messages.ChangeReplicas | None:
         """Return the change that lets a stranger learn, None if it is known."""
-        if replica.identity in current.everyone():
+        if replica.identity in current.by_identity():
             return None
         return messages.ChangeReplicas(
             action=messages.ReplicaAction.LEARN,
@@ -97,25 +98,28 @@
             reason=f"{replica.identity} asked for a vote and learns first",
         )
 
-    def to_promote(
+    def plan_promotion(
         self,
         current: replicas.ReplicaSet,
-        silences: dict[str, float],
+        reply_ages: dict[str, float],
         caught_up: set[str],
     ) -> messages.ChangeReplicas | None:
         """Return the change that gives a learner a vote, None for now.
 
         Args:
             current: The set in force.
-            silences: As above.
+            reply_ages: Seconds since the last reply of each replica.
             caught_up: Learners that hold nearly all of the log; others must
                 not keep them, or the removal of a voter, waiting.
         """
         for learner in current.learners:
-            answered_s = silences.get(learner.identity, SILENT_S)
-            if learner.identity not in caught_up or answered_s >= ANSWERED_S:
+            answered_s = reply_ages.get(learner.identity, UNRESPONSIVE_AFTER_S)
+            if (
+                learner.identity not in caught_up
+                or answered_s >= RESPONSIVE_WITHIN_S
+            ):
                 continue
-            replaced = self.replaced_by(learner, current, silences)
+            replaced = self.replaced_by(learner, current, reply_ages)
             return messages.ChangeReplicas(
                 action=messages.ReplicaAction.PROMOTE,
                 replica=learner,
@@ -129,7 +133,7 @@
         self,
         learner: replicas.Replica,
         current: replicas.ReplicaSet,
-        silences: dict[str, float],
+        reply_ages: dict[str, float],
     ) -> str:
         """Return whose vote a learner takes over, empty if it gets one more.
 
@@ -141,22 +145,26 @@
                 return voter.identity
         if not self.is_complete(current):
             return ""
-        silent = longest_silent(current.voters, silences)
-        return silent if silences.get(silent, 0.0) >= SILENT_S else ""
+        silent = longest_unresponsive(current.voters, reply_ages)
+        return (
+            silent
+            if reply_ages.get(silent, 0.0) >= UNRESPONSIVE_AFTER_S
+            else ""
+        )
 
-    def to_leave(
+    def plan_leave(
         self,
         replica: replicas.Replica,
         current: replicas.ReplicaSet,
-        silences: dict[str, float],
+        reply_ages: dict[str, float],
     ) -> messages.ChangeReplicas | None:
         """Return the removal of a voter that stops, None if it is to stay.
 
         It stays where the set bears enough without an answer from it: it is
         probably only restarted, and need not learn again then.
         """
-        gone = {replica.identity: SILENT_S}
-        if not self.can_spare(replica.identity, current, silences | gone):
+        gone = {replica.identity: UNRESPONSIVE_AFTER_S}
+        if not self.can_remove(replica.identity, current, reply_ages | gone):
             return None
         return messages.ChangeReplicas(
             action=messages.ReplicaAction.REMOVE,
@@ -164,47 +172,50 @@
             reason=f"{replica.identity} stops",
         )
 
-    def to_remove(
-        self, current: replicas.ReplicaSet, silences: dict[str, float]
+    def plan_removal(
+        self, current: replicas.ReplicaSet, reply_ages: dict[str, float]
     ) -> messages.ChangeReplicas | None:
         """Return the removal of a silent replica that can be spared."""
-        identity = longest_silent(current.learners, silences)
-        if silences.get(identity, 0.0) < RETIRE_S:
-            identity = longest_silent(current.voters, silences)
-            if not self.can_spare(identity, current, silences):
+        identity = longest_unresponsive(current.learners, reply_ages)
+        if reply_ages.get(identity, 0.0) < REMOVE_AFTER_S:
+            identity = longest_unresponsive(current.voters, reply_ages)
+            if not self.can_remove(identity, current, reply_ages):
                 return None
         return messages.ChangeReplicas(
             action=messages.ReplicaAction.REMOVE,
-            replica=current.everyone()[identity],
+            replica=current.by_identity()[identity],
             reason=f"{identity} has been silent for"
-            f" {silences[identity]:.1f} s",
+            f" {reply_ages[identity]:.1f} s",
         )
 
-    def can_spare(
+    def can_remove(
         self,
         identity: str,
         current: replicas.ReplicaSet,
-        silences: dict[str, float],
+        reply_ages: dict[str, float],
     ) -> bool:
         """Return whether a voter is silent and the set is better without."""
         if not identity or len(current.voters) <= self.required_voters:
             return False
-        silent = {i for i, s in silences.items() if s >= SILENT_S}
+        silent = {i for i, s in reply_ages.items() if s >= UNRESPONSIVE_AFTER_S}
         if identity not in silent:
             return False
         tolerated = quorum.failures_tolerated(current, silent)
-        return tolerated < self.losses or silences[identity] >= RETIRE_S
+        return (
+            tolerated < self.max_failures
+            or reply_ages[identity] >= REMOVE_AFTER_S
+        )
 
 
-def longest_silent(
-    among: tuple[replicas.Replica, ...], silences: dict[str, float]
+def longest_unresponsive(
+    among: tuple[replicas.Replica, ...], reply_ages: dict[str, float]
 ) -> str:
     """Return the replica that has been silent longest, empty if none is."""
-    known = [r.identity for r in among if r.identity in silences]
-    return max(known, key=silences.__getitem__, default="")
+    known = [r.identity for r in among if r.identity in reply_ages]
+    return max(known, key=reply_ages.__getitem__, default="")
 
 
-def wanted_set(
+def requested_set(
     current: replicas.ReplicaSet, message: messages.ChangeReplicas
 ) -> Result[replicas.ReplicaSet, errors.Failure]:
     """Return the set that a change asks for, or why it is refused."""
@@ -224,7 +235,7 @@
             voters = tuple(r for r in voters if r.identity != message.replaces)
             voters += (message.replica,)
         case messages.ReplicaAction.REMOVE:
-            if identity not in current.everyone():
+            if identity not in current.by_identity():
                 return refuse(f"replica {identity!r} is not known")
             if not voters:
                 return refuse("the last voter cannot be removed")
--- a/src/_coltsfootroad/control/node.py
+++ b/src/_coltsfootroad/control/node.py
@@ -24,16 +24,16 @@
 from _coltsfootroad.control import retrylending
 from _coltsfootroad.control import state as state_lib
 from _coltsfootroad.control import storage as storage_lib
-from _coltsfootroad.control import voterwatch
+from _coltsfootroad.control import votermonitor
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import errors
 
-SNAPSHOT_EVERY = 4_096
+SNAPSHOT_ENTRIES = 4_096
 # The log has to stay far below the memory and disk of a small VM, and holds
 # complete versions of the routes.
 SNAPSHOT_BYTES = 8 * 1024 * 1024
 FULL_DISK_RETRY_S = 1.0
-MAX_WAITING = 10_000
+MAX_PENDING_COMMANDS = 10_000
 # Faults that are kept until they are logged.
 MAX_FAULTS = 100
 Reply = Callable[[object], None]
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class RefusedByFault:
+class CallFault:
     """A command that could not be applied, or a call without an answer.
 
     Attributes:
@@ -68,7 +68,7 @@
 
 
 @attrs.define
-class Waiter:
+class PendingCommand:
     """Somebody who waits for a proposed command to be applied."""
 
     term: int
@@ -89,7 +89,7 @@
     replica: replicas.Replica
     storage: storage_lib.Storage
     send: Send
-    wall: Callable[[], float]
+    wall_clock: Callable[[], float]
     rng: random.Random
     started_at: float = 0.0
     raft: raft_lib.Raft = attrs.field(init=False)
@@ -97,17 +97,17 @@
     hub: hub_lib.Hub | None = None
     # What it knows while another replica leads, and what it begins with.
     mirror: mirror_lib.Mirror = attrs.field()
-    waiters: dict[int, Waiter] = attrs.Factory(dict)
-    pending: list[ready_lib.Ready] = attrs.Factory(list)
+    pending_commands: dict[int, PendingCommand] = attrs.Factory(dict)
+    pending_ready: list[ready_lib.Ready] = attrs.Factory(list)
     blocked_until: float = 0.0
     snapshot_due_at: float = 0.0
     syncs: int = 0
-    in_process: bool = False
+    is_processing: bool = False
     log_bytes: int = 0
-    faults: collections.deque[RefusedByFault] = attrs.field(
+    faults: collections.deque[CallFault] = attrs.field(
         factory=lambda: collections.deque(maxlen=MAX_FAULTS)
     )
-    watch: voterwatch.VoterWatch = attrs.field(init=False)
+    voter_monitor: votermonitor.VoterMonitor = attrs.field(init=False)
     # Why this replica, as leader, changed the set last; for the log.
     change_reason: str = ""
     membership: membership_lib.Membership = attrs.Factory(
@@ -134,14 +134,14 @@
             reader=self.storage,
             started_at=self.started_at,
         )
-        self.watch = voterwatch.VoterWatch(self.raft)
+        self.voter_monitor = votermonitor.VoterMonitor(self.raft)
 
     # --- time and messages -----------------------------------------------
 
     @property
     def is_blocked(self) -> bool:
         """Return whether a full disk keeps this replica from acting."""
-        return bool(self.pending)
+        return bool(self.pending_ready)
 
     def bootstrap(self, now: float) -> bool:
         """Become the only voter of a new system; only on an empty disk."""
@@ -155,7 +155,7 @@
         )
         self.raft.log.append(entry)
         self.raft.ready.entries.append(entry)
-        self.raft.timer.stand_at_once(now)
+        self.raft.timer.expire_now(now)
         self.tick(now)
         return True
 
@@ -163,7 +163,7 @@
         """Run the timers."""
         if not self.is_blocked:
             self.raft.tick(now)
-            self.tend_replicas(now)
+            self.update_membership(now)
             self.convict_late(now)
         self.process(now)
 
@@ -179,35 +179,35 @@
 
     def process(self, now: float) -> None:
         """Store, sync, send and apply until there is nothing to do."""
-        if self.in_process:
+        if self.is_processing:
             # A reply made while applying may lead to a call; the loop
             # below picks up what it proposed.
             return
-        self.in_process = True
+        self.is_processing = True
         try:
-            while self.process_one(now):
+            while self.process_next(now):
                 pass
         finally:
-            self.in_process = False
+            self.is_processing = False
         self.update_hub(now)
 
-    def process_one(self, now: float) -> bool:
+    def process_next(self, now: float) -> bool:
         """Carry out one `Ready`; return whether there may be another."""
         self.raft.flush_appends(now)
-        if not self.pending:
+        if not self.pending_ready:
             ready = self.raft.take_ready()
             if ready.is_empty():
                 return False
-            self.pending.append(ready)
+            self.pending_ready.append(ready)
         elif now < self.blocked_until:
             return False
-        ready = self.pending[0]
+        ready = self.pending_ready[0]
         if not self.persist(ready):
             self.blocked_until = now + FULL_DISK_RETRY_S
             return False
-        self.pending.clear()
+        self.pending_ready.clear()
         if ready.entries:
-            self.raft.synced(ready.entries[-1].index, now)
+            self.raft.on_synced(ready.entries[-1].index, now)
         for outgoing in ready.messages:
             self.send(outgoing.to, outgoing.message)
         for entry in ready.committed:
@@ -246,7 +246,7 @@
             if command.is_error():
                 raise errors.BrokenInvariantError(command.error.message)
             answer = self.apply_command(command.ok, entry)
-        waiter = self.waiters.pop(entry.index, None)
+        waiter = self.pending_commands.pop(entry.index, None)
         if waiter is None:
             return
         if waiter.term == entry.term:
@@ -265,7 +265,7 @@
         except errors.BrokenInvariantError:
             raise
         except Exception:  # noqa: BLE001
-            return self.refuse_by_fault(command, entry.index)
+            return self.refuse_after_fault(command, entry.index)
 
     def answer_read(self, message: object, now: float) -> object:
         """Answer a call that changes nothing durable; refuse it on a fault.
@@ -277,14 +277,14 @@
         except errors.BrokenInvariantError:
             raise
         except Exception:  # noqa: BLE001
-            return self.refuse_by_fault(message, None)
+            return self.refuse_after_fault(message, None)
 
-    def refuse_by_fault(
+    def refuse_after_fault(
         self, message: object, index: int | None
     ) -> outcomes.Refused:
         """Keep the present error for the log, and refuse as internal."""
         name = type(message).__name__
-        self.faults.append(RefusedByFault(index, name, traceback.format_exc()))
+        self.faults.append(CallFault(index, name, traceback.format_exc()))
         return outcomes.Refused(
             failure=errors.Failure(
                 errors.ErrorCode.INTERNAL,
@@ -296,7 +296,7 @@
         """Save a snapshot when the log has grown long."""
         raft = self.raft
         grown = raft.applied - raft.log.snapshot.index
-        if grown < SNAPSHOT_EVERY and self.log_bytes < SNAPSHOT_BYTES:
+        if grown < SNAPSHOT_ENTRIES and self.log_bytes < SNAPSHOT_BYTES:
             return
         if now < self.snapshot_due_at:
             return
@@ -313,26 +313,26 @@
         saved = self.storage.save_snapshot(meta, data, raft.hard_state, stored)
         if saved.is_ok():
             self.log_bytes = 0
-            raft.compacted(meta)
+            raft.compact_log(meta)
         else:
             self.snapshot_due_at = now + FULL_DISK_RETRY_S
 
     def update_hub(self, now: float) -> None:
         """Keep a hub exactly while leading."""
         ready = self.raft.is_leader and (
-            self.raft.applied >= self.raft.term_start
+            self.raft.applied >= self.raft.term_start_index
         )
         if ready and self.hub is None:
-            self.hub = self.take_over(now)
+            self.hub = self.create_hub(now)
         elif ready:
             self.hub.publish_quarantine(now)
         elif not ready and self.hub is not None:
             self.mirror.step_down(self.hub.heard_since, now)
             self.hub = None
-        if not self.raft.is_leader and self.waiters:
-            self.fail_waiters()
+        if not self.raft.is_leader and self.pending_commands:
+            self.fail_pending_commands()
 
-    def take_over(self, now: float) -> hub_lib.Hub:
+    def create_hub(self, now: float) -> hub_lib.Hub:
         """Return the hub of a new leader, which goes on from a good copy."""
         heard_since = self.mirror.heard_since
         if not self.mirror.is_good(now):
@@ -348,10 +348,10 @@
         hub.take_relay(self.mirror.relay, hub_lib.NEVER)
         return hub
 
-    def fail_waiters(self) -> None:
+    def fail_pending_commands(self) -> None:
         """Tell those who wait that the outcome is not known here."""
-        waiters, self.waiters = self.waiters, {}
-        for waiter in waiters.values():
+        pending_commands, self.pending_commands = self.pending_commands, {}
+        for waiter in pending_commands.values():
             waiter.reply(unavailable("this replica stopped leading"))
 
     # --- calls -----------------------------------------------------------
@@ -386,7 +386,7 @@
         report.
         """
         for command in self.hub.take_crashes(report, now):
-            self.propose(command, now, ignore_reply)
+            self.propose(command, now, discard_reply)
         reply(outcomes.Done())
 
     def convict_late(self, now: float) -> None:
@@ -394,7 +394,7 @@
         if self.hub is None or not self.raft.has_lease(now):
             return
         for command in self.hub.convict_late(now):
-            self.propose(command, now, ignore_reply)
+            self.propose(command, now, discard_reply)
 
     def propose(self, command: object, now: float, reply: Reply) -> None:
         """Replicate a command; the reply comes once it is applied."""
@@ -404,13 +404,13 @@
         if self.is_blocked:
             reply(unavailable("the disk of the leader is full"))
             return
-        if len(self.waiters) >= MAX_WAITING:
+        if len(self.pending_commands) >= MAX_PENDING_COMMANDS:
             reply(unavailable("too many commands wait for the disk"))
             return
         index = self.raft.propose(
             log_lib.EntryKind.COMMAND,
             commandlog.pack(command),
-            self.wall(),
+            self.wall_clock(),
             now,
         )
         if index is None:
@@ -418,14 +418,14 @@
             return
         # The shell calls `process` once per turn of the loop, so that
         # commands that arrive together share one sync.
-        self.waiters[index] = Waiter(self.raft.term, reply)
+        self.pending_commands[index] = PendingCommand(self.raft.term, reply)
 
     def change_replicas(
         self, message: messages.ChangeReplicas, now: float, reply: Reply
     ) -> None:
         """Change the set of replicas, if nothing speaks against it."""
         current = self.raft.replica_set
-        wanted = membership_lib.wanted_set(current, message)
+        wanted = membership_lib.requested_set(current, message)
         if wanted.is_error():
             reply(outcomes.Refused(failure=wanted.error))
         elif wanted.ok == current:
@@ -433,7 +433,7 @@
         elif self.raft.change_replicas(wanted.ok, now):
             self.change_reason = message.reason or "asked for by an operator"
             index = self.raft.log.last_index
-            self.waiters[index] = Waiter(self.raft.term, reply)
+            self.pending_commands[index] = PendingCommand(self.raft.term, reply)
             self.process(now)
         else:
             reply(
@@ -448,14 +448,14 @@
     ) -> None:
         """Let a replica learn; it gets a vote once it has caught up."""
         current = self.raft.replica_set
-        fault = self.membership.unfit(
-            message.replica, current, self.watch.silences(now)
+        fault = self.membership.join_refusal(
+            message.replica, current, self.voter_monitor.reply_ages(now)
         )
         if fault:
             failure = errors.Failure(errors.ErrorCode.BAD_REQUEST, fault)
             reply(outcomes.Refused(failure=failure))
             return
-        change = self.membership.to_learn(message.replica, current)
+        change = self.membership.plan_learner(message.replica, current)
         if change is None:
             reply(outcomes.Done())
         else:
@@ -465,43 +465,45 @@
         self, message: messages.LeaveReplica, reply: Reply, now: float
     ) -> None:
         """Take the vote of a replica that stops, where it can be spared."""
-        change = self.membership.to_leave(
-            message.replica, self.raft.replica_set, self.watch.silences(now)
+        change = self.membership.plan_leave(
+            message.replica,
+            self.raft.replica_set,
+            self.voter_monitor.reply_ages(now),
         )
         if change is None:
             reply(outcomes.Done())
         else:
             self.change_replicas(change, now, reply)
 
-    def hand_over(self, now: float) -> None:
+    def transfer_leadership(self, now: float) -> None:
         """Stop leading, if this replica does, in favour of another one."""
-        if self.raft.others() and not self.is_blocked:
-            self.raft.hand_over(now)
+        if self.raft.peer_identities() and not self.is_blocked:
+            self.raft.transfer_leadership(now)
             self.process(now)
 
-    def tend_replicas(self, now: float) -> None:
+    def update_membership(self, now: float) -> None:
         """As leader, let learners vote and take out who has fallen silent."""
-        self.watch.tick(now)
+        self.voter_monitor.tick(now)
         current = self.raft.replica_set
         if not self.raft.has_lease(now) or current.is_joint:
             return
-        silences = self.watch.silences(now)
+        reply_ages = self.voter_monitor.reply_ages(now)
         caught_up = {
             learner.identity
             for learner in current.learners
             if self.raft.has_caught_up(learner.identity)
         }
-        change = self.membership.to_promote(current, silences, caught_up)
+        change = self.membership.plan_promotion(current, reply_ages, caught_up)
         if change is None:
-            change = self.membership.to_remove(current, silences)
+            change = self.membership.plan_removal(current, reply_ages)
         if change is not None:
-            self.change_replicas(change, now, ignore_reply)
+            self.change_replicas(change, now, discard_reply)
 
     # --- facts -----------------------------------------------------------
 
     def replica_addresses(self) -> tuple[str, ...]:
         """Return the addresses of all replicas."""
-        known = self.raft.replica_set.everyone().values()
+        known = self.raft.replica_set.by_identity().values()
         return tuple(replica.address for replica in known)
 
     def info(self) -> messages.ReplicaInfo:
@@ -518,11 +520,11 @@
 
     def leader_address(self) -> str:
         """Return the address of the leader as far as it is known."""
-        known = self.raft.replica_set.everyone().get(self.raft.leader)
+        known = self.raft.replica_set.by_identity().get(self.raft.leader)
         return known.address if known is not None else ""
 
 
-def ignore_reply(_: object) -> None:
+def discard_reply(_: object) -> None:
     """Drop an answer that nobody waits for; the step is tried again."""
 
 
--- a/src/_coltsfootroad/control/packing.py
+++ b/src/_coltsfootroad/control/packing.py
@@ -35,12 +35,12 @@
     try:
         plain = unpacker.decompress(data, MAX_PLAIN_BYTES)
     except zlib.error as error:
-        return fault(f"message cannot be decompressed: {error}")
+        return decode_error(f"message cannot be decompressed: {error}")
     if not unpacker.eof:
-        return fault("message is cut short, or longer than any of ours")
+        return decode_error("message is cut short, or longer than any of ours")
     return Ok(plain)
 
 
-def fault(message: str) -> Result[bytes, errors.Failure]:
+def decode_error(message: str) -> Result[bytes, errors.Failure]:
     """Return the refusal of some data."""
     return Error(errors.Failure(errors.ErrorCode.BAD_REQUEST, message))
--- a/src/_coltsfootroad/control/progress.py
+++ b/src/_coltsfootroad/control/progress.py
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Batch:
+class InflightBatch:
     """Entries that were sent in one message: the last index, and bytes."""
 
     last_index: int
@@ -70,32 +70,34 @@
     current_at: float = NEVER
     snapshot: log_lib.SnapshotMeta | None = None
     snapshot_offset: int = 0
-    batches: collections.deque[Batch] = attrs.Factory(collections.deque)
+    batches: collections.deque[InflightBatch] = attrs.Factory(collections.deque)
     advanced_at: float = NEVER
     resend_s: float = RESEND_MIN_S
 
     @property
-    def room(self) -> int:
+    def available_bytes(self) -> int:
         """Return how many bytes of entries may be sent now."""
         if self.state is State.PROBE:
             return 0
         under_way = sum(batch.size for batch in self.batches)
         return max(0, min(MESSAGE_BYTES, WINDOW_BYTES - under_way))
 
-    def note_sent(self, entries: tuple[log_lib.Entry, ...], now: float) -> None:
+    def record_sent(
+        self, entries: tuple[log_lib.Entry, ...], now: float
+    ) -> None:
         """Note entries that are sent."""
         if not entries:
             return
         if not self.batches:
             self.advanced_at = now
         size = sum(len(e.data) + log_lib.ENTRY_OVERHEAD for e in entries)
-        self.batches.append(Batch(entries[-1].index, size))
+        self.batches.append(InflightBatch(entries[-1].index, size))
         self.next_index = entries[-1].index + 1
 
-    def note_match(self, match: int, now: float) -> None:
+    def record_match(self, match: int, now: float) -> None:
         """Note up to where its log is the same."""
         if match > self.match:
-            self.advance(now)
+            self.mark_progress(now)
             self.match = match
         if self.state is State.PROBE:
             self.state = State.REPLICATE
@@ -105,12 +107,12 @@
         self.next_index = max(self.next_index, self.match + 1)
         self.snapshot = None
 
-    def note_commit(self, commit: int, now: float) -> None:
+    def record_commit(self, commit: int, now: float) -> None:
         """Note whether it holds what is committed."""
         if self.match >= commit:
             self.current_at = now
 
-    def note_rejected(self, prev_index: int, common_index: int) -> bool:
+    def record_rejection(self, prev_index: int, common_index: int) -> bool:
         """Note an append that did not fit; return whether to probe at once.
 
         Args:
@@ -136,30 +138,30 @@
         self.batches.clear()
         self.next_index = self.match + 1
 
-    def note_received(self, offset: int, now: float) -> bool:
+    def record_snapshot_received(self, offset: int, now: float) -> bool:
         """Note how much of a snapshot arrived; return whether it is more."""
         if offset <= self.snapshot_offset:
             return False
         self.snapshot_offset = offset
-        self.advance(now)
+        self.mark_progress(now)
         return True
 
-    def advance(self, now: float) -> None:
+    def mark_progress(self, now: float) -> None:
         """Note that it got further."""
         self.advanced_at = now
         self.resend_s = RESEND_MIN_S
 
-    def begin_snapshot(self, meta: log_lib.SnapshotMeta, now: float) -> bool:
+    def prepare_snapshot(self, meta: log_lib.SnapshotMeta, now: float) -> bool:
         """Return whether a piece of a snapshot is due: new, or sent again."""
         if self.snapshot is None or self.snapshot.index != meta.index:
             self.snapshot = meta
             self.snapshot_offset = 0
             self.batches.clear()
-            self.advance(now)
+            self.mark_progress(now)
             return True
-        return self.expire(now)
+        return self.has_resend_timed_out(now)
 
-    def expire(self, now: float) -> bool:
+    def has_resend_timed_out(self, now: float) -> bool:
         """Return whether what is under way is to be sent again."""
         if now < self.advanced_at + self.resend_s:
             return False
@@ -167,7 +169,7 @@
         self.resend_s = min(RESEND_MAX_S, 2 * self.resend_s)
         return True
 
-    def roll_back(self, now: float) -> None:
+    def resend_if_timed_out(self, now: float) -> None:
         """Send again from where its log is the same, if that is due."""
-        if self.batches and self.expire(now):
+        if self.batches and self.has_resend_timed_out(now):
             self.probe_from_match()
--- a/src/_coltsfootroad/control/raft.py
+++ b/src/_coltsfootroad/control/raft.py
@@ -22,7 +22,7 @@
 from _coltsfootroad.core import errors
 
 # Entries by which a learner may lag and still be made a voter.
-PROMOTE_LAG = 64
+MAX_PROMOTION_LAG = 64
 
 
 class Role(enum.Enum):
@@ -49,23 +49,25 @@
     commit: int = 0
     applied: int = 0
     # When each other replica was last heard, in any role.
-    heard_at: dict[str, float] = attrs.Factory(dict)
+    last_contact_at: dict[str, float] = attrs.Factory(dict)
     timer: electiontimer.ElectionTimer = attrs.field(init=False)
     heartbeat_at: float = 0.0
     # Commit index at the previous heartbeat.
     heartbeat_commit: int = 0
-    led_since: float = 0.0
+    leader_since: float = 0.0
     # From when the silence of a quorum counts, after this process stood still.
-    quorum_since: float = 0.0
+    quorum_check_since: float = 0.0
     # Last term whose election is over, with a leader or without.
     elected_term: int = 0
-    term_start: int = 0
+    term_start_index: int = 0
     votes: set[str] = attrs.Factory(set)
     # Why others refused their votes in the last campaign, by identity.
     refusals: dict[str, peers.Refusal] = attrs.Factory(dict)
     idle: set[str] = attrs.Factory(set)
     progress: dict[str, progress_lib.Progress] = attrs.Factory(dict)
-    incoming: snapshots.Incoming = attrs.Factory(snapshots.Incoming)
+    incoming: snapshots.IncomingSnapshot = attrs.Factory(
+        snapshots.IncomingSnapshot
+    )
     ready: ready_lib.Ready = attrs.Factory(ready_lib.Ready)
 
     def __attrs_post_init__(self):
@@ -99,17 +101,17 @@
         has started again, too. They need not wait until it would have ended.
         After a loss of all power a leader stands that much sooner.
         """
-        return not self.is_leader and self.timer.heard_none
+        return not self.is_leader and self.timer.has_no_leader_since_start
 
-    def hears_leader(self, now: float) -> bool:
+    def has_leader_contact(self, now: float) -> bool:
         """Return whether it leads, or has heard its leader lately."""
         return self.is_leader or bool(
-            self.leader and self.timer.heard_lately(now)
+            self.leader and self.timer.has_recent_contact(now)
         )
 
-    def others(self) -> list[str]:
+    def peer_identities(self) -> list[str]:
         """Return the identities of all other replicas."""
-        return [i for i in self.replica_set.everyone() if i != self.identity]
+        return [i for i in self.replica_set.by_identity() if i != self.identity]
 
     def has_lease(self, now: float) -> bool:
         """Return whether no other leader can exist now.
@@ -117,11 +119,11 @@
         Reads of the applied state are linearizable while this holds and an
         entry of the own term has been applied.
         """
-        if not self.is_leader or self.applied < self.term_start:
+        if not self.is_leader or self.applied < self.term_start_index:
             return False
         acked = {i: p.acked_at for i, p in self.progress.items()}
         acked[self.identity] = now
-        lease_s = electiontimer.LEASE_S
+        lease_s = electiontimer.LEADER_LEASE_S
         return now < self.replica_set.quorum_value(acked) + lease_s
 
     # --- input -----------------------------------------------------------
@@ -136,13 +138,13 @@
 
     def tick(self, now: float) -> None:
         """Run the timers."""
-        self.timer.begin(now)
+        self.timer.start(now)
         if self.is_leader:
             self.check_quorum(now)
         if self.is_leader and now >= self.heartbeat_at:
-            self.broadcast(now)
-        elif not self.is_leader and self.timer.is_due(now):
-            self.note_election(now)
+            self.broadcast_appends(now)
+        elif not self.is_leader and self.timer.has_timed_out(now):
+            self.record_failed_election(now)
             self.campaign(True, now)
 
     def next_wake(self) -> float:
@@ -162,23 +164,23 @@
             at=at,
             data=data,
         )
-        self.append_own(entry, now)
+        self.append_as_leader(entry, now)
         return entry.index
 
     def flush_appends(self, now: float) -> None:
         """Send what was proposed since the last call, in one batch."""
         if not self.is_leader:
             return
-        for identity in self.others():
+        for identity in self.peer_identities():
             progress = self.progress[identity]
             # A replica that needs a snapshot is behind all the time; its
             # pieces go out on its answers and on heartbeats.
             first = self.log.snapshot.index + 1
             lacks = first <= progress.next_index <= self.log.last_index
-            if lacks and progress.room:
+            if lacks and progress.available_bytes:
                 self.send_append(identity, now)
 
-    def synced(self, index: int, now: float) -> None:
+    def on_synced(self, index: int, now: float) -> None:
         """Count the own disk for what has been synced up to `index`."""
         if not self.is_leader:
             return
@@ -188,7 +190,7 @@
 
     def step(self, message: peers.PeerMessage, now: float) -> None:
         """Take a message from another replica."""
-        self.heard_at[message.sender] = now
+        self.last_contact_at[message.sender] = now
         if isinstance(message, peers.VoteRequest):
             self.on_vote_request(message, now)
             return
@@ -226,7 +228,7 @@
         self.leader = leader
         self.progress = {}
 
-    def hand_over(self, now: float) -> None:
+    def transfer_leadership(self, now: float) -> None:
         """Stop leading, and let the voter that has most be elected at once.
 
         Nobody waits until it is noticed that the leader is gone: 0.6 s to
@@ -236,28 +238,29 @@
         """
         if not self.is_leader:
             return
-        heir = self.most_advanced_voter(now)
+        heir = self.transfer_target(now)
         if heir:
             self.send(
                 heir, peers.TakeOver(term=self.term, sender=self.identity)
             )
         self.become_follower(self.term, "", now)
 
-    def most_advanced_voter(self, now: float) -> str:
+    def transfer_target(self, now: float) -> str:
         """Return the other voter that has answered lately and has most."""
         answering = {
             identity: self.progress[identity].match
             for identity in self.replica_set.voter_identities()
             if identity != self.identity
-            and now < self.progress[identity].acked_at + electiontimer.LEASE_S
+            and now
+            < self.progress[identity].acked_at + electiontimer.LEADER_LEASE_S
         }
         return max(answering, key=answering.__getitem__, default="")
 
-    def note_election(self, now: float) -> None:
+    def record_failed_election(self, now: float) -> None:
         """Note a term that got this replica's vote and had no leader."""
         if self.hard_state.vote and self.elected_term < self.term:
             self.elected_term = self.term
-            self.timer.note_failed(now)
+            self.timer.record_failure(now)
 
     def on_take_over(self, message: peers.TakeOver, now: float) -> None:
         """Stand for election at once, as the leader asks."""
@@ -273,7 +276,7 @@
     ) -> None:
         """Ask for votes, first only whether they would be given."""
         if self.is_idle:
-            self.timer.reset_early(pre, now)
+            self.timer.reset_cold_start(pre, now)
         else:
             self.timer.reset(now)
         if self.identity not in self.replica_set.voter_identities():
@@ -314,7 +317,7 @@
             self.reply_vote(
                 message,
                 peers.Refusal.HEARD_LEADER,
-                idle=self.refusal_of(message) is None,
+                idle=self.vote_refusal(message) is None,
             )
             return
         sticky = sticky and not (message.all_idle and self.is_idle)
@@ -324,7 +327,7 @@
             return
         if message.term > self.term and not message.pre:
             self.become_follower(message.term, "", now)
-        refusal = self.refusal_of(message)
+        refusal = self.vote_refusal(message)
         if refusal is None and not message.pre:
             self.set_hard_state(
                 ready_lib.HardState(term=self.term, vote=message.sender)
@@ -333,16 +336,16 @@
         idle = message.pre and refusal is None and self.is_idle
         self.reply_vote(message, refusal, idle)
 
-    def refusal_of(self, message: peers.VoteRequest) -> peers.Refusal | None:
+    def vote_refusal(self, message: peers.VoteRequest) -> peers.Refusal | None:
         """Return why a candidate gets no vote, None if it gets one."""
         least_term = self.term + 1 if message.pre else self.term
         if message.term < least_term:
             return peers.Refusal.TERM
         if not message.pre and self.hard_state.vote not in ("", message.sender):
             return peers.Refusal.VOTED
-        return None if self.is_current(message) else peers.Refusal.LOG
+        return None if self.is_up_to_date(message) else peers.Refusal.LOG
 
-    def is_current(self, message: peers.VoteRequest) -> bool:
+    def is_up_to_date(self, message: peers.VoteRequest) -> bool:
         """Return whether a candidate's log has all that the own one has."""
         mark = (message.last_term, message.last_index)
         return mark >= (self.log.last_term, self.log.last_index)
@@ -402,24 +405,24 @@
         """Lead, and commit an entry of the own term first of all."""
         self.role = Role.LEADER
         self.leader = self.identity
-        self.led_since = now
+        self.leader_since = now
         self.elected_term = self.term
         self.heartbeat_commit = self.commit
-        self.timer.heard_leader_at = now
+        self.timer.leader_contact_at = now
         first = self.log.last_index + 1
         self.progress = {
             identity: progress_lib.Progress(since=now, next_index=first)
-            for identity in self.replica_set.everyone()
+            for identity in self.replica_set.by_identity()
         }
         self.progress[self.identity].match = self.log.last_index
-        self.term_start = first
-        self.append_own(
+        self.term_start_index = first
+        self.append_as_leader(
             log_lib.Entry(
                 term=self.term, index=first, kind=log_lib.EntryKind.NOOP
             ),
             now,
         )
-        self.broadcast(now)
+        self.broadcast_appends(now)
 
     def check_quorum(self, now: float) -> None:
         """Step down when a quorum has not answered for long.
@@ -431,13 +434,15 @@
         heard[self.identity] = now
         since = max(
             self.replica_set.quorum_value(heard),
-            self.led_since,
-            self.quorum_since,
+            self.leader_since,
+            self.quorum_check_since,
         )
         late_s = now - self.heartbeat_at
-        if late_s > electiontimer.LATE_S:
-            since = self.quorum_since = since + late_s
-        bound_s = electiontimer.ELECTION_MAX_S * self.timer.timeout_scale(now)
+        if late_s > electiontimer.LATE_TICK_S:
+            since = self.quorum_check_since = since + late_s
+        bound_s = (
+            electiontimer.ELECTION_TIMEOUT_MAX_S * self.timer.timeout_scale(now)
+        )
         if now - since > bound_s:
             self.become_follower(self.term, "", now)
 
@@ -447,31 +452,31 @@
         """Queue a message for after the sync."""
         self.ready.messages.append(ready_lib.Outgoing(to=to, message=message))
 
-    def append_own(self, entry: log_lib.Entry, now: float) -> None:
+    def append_as_leader(self, entry: log_lib.Entry, now: float) -> None:
         """Append an entry as leader."""
         self.log.append(entry)
         self.ready.entries.append(entry)
         if entry.kind is log_lib.EntryKind.REPLICAS:
-            self.track_replicas(now)
+            self.update_tracked_replicas(now)
 
-    def track_replicas(self, now: float) -> None:
+    def update_tracked_replicas(self, now: float) -> None:
         """Keep progress of exactly the replicas in force."""
-        everyone = self.replica_set.everyone()
-        for identity in everyone:
+        by_identity = self.replica_set.by_identity()
+        for identity in by_identity:
             if identity not in self.progress:
                 self.progress[identity] = progress_lib.Progress(
                     since=now, next_index=self.log.last_index
                 )
-        for identity in set(self.progress) - set(everyone) - {self.identity}:
+        for identity in set(self.progress) - set(by_identity) - {self.identity}:
             del self.progress[identity]
 
-    def broadcast(self, now: float) -> None:
+    def broadcast_appends(self, now: float) -> None:
         """Send a heartbeat, with entries where some are missing."""
-        self.heartbeat_at = now + electiontimer.HEARTBEAT_S
-        for identity in self.others():
+        self.heartbeat_at = now + electiontimer.HEARTBEAT_INTERVAL_S
+        for identity in self.peer_identities():
             progress = self.progress[identity]
-            progress.note_commit(self.heartbeat_commit, now)
-            progress.roll_back(now)
+            progress.record_commit(self.heartbeat_commit, now)
+            progress.resend_if_timed_out(now)
             self.send_append(identity, now)
         self.heartbeat_commit = self.commit
 
@@ -488,9 +493,11 @@
             self.send_snapshot(identity, progress, now)
             return
         entries = ()
-        if progress.room:
-            entries = self.log.slice(progress.next_index, progress.room)
-        progress.note_sent(entries, now)
+        if progress.available_bytes:
+            entries = self.log.slice(
+                progress.next_index, progress.available_bytes
+            )
+        progress.record_sent(entries, now)
         self.send(
             identity,
             peers.Append(
@@ -509,7 +516,7 @@
         if message.term < self.term:
             self.reply_append(message, False, self.log.last_index)
             return
-        self.follow(message.sender, now)
+        self.on_leader_contact(message.sender, now)
         prev = message.prev_index
         if prev < self.log.snapshot.index:
             # Every leader has the same entries up to the commit index.
@@ -519,30 +526,30 @@
             common = self.log.last_index_within(prev, message.prev_term)
             self.reply_append(message, False, max(common, self.commit))
             return
-        self.store_entries(message.entries)
+        self.append_entries(message.entries)
         match = prev + len(message.entries)
         self.commit = max(self.commit, min(message.commit, match))
         self.reply_append(message, True, match)
 
-    def follow(self, leader: str, now: float) -> None:
+    def on_leader_contact(self, leader: str, now: float) -> None:
         """Note that the leader of the current term is alive."""
         if self.role is not Role.FOLLOWER or self.leader != leader:
             self.become_follower(self.term, leader, now)
         self.elected_term = self.term
-        self.timer.hear(now, self.term)
+        self.timer.on_leader_message(now, self.term)
 
-    def store_entries(self, entries: tuple[log_lib.Entry, ...]) -> None:
+    def append_entries(self, entries: tuple[log_lib.Entry, ...]) -> None:
         """Append what is new, dropping what contradicts it."""
         for entry in entries:
             known = self.log.term_at(entry.index)
             if known == entry.term:
                 continue
             if known is not None:
-                self.drop_from(entry.index)
+                self.truncate_log_from(entry.index)
             self.log.append(entry)
             self.ready.entries.append(entry)
 
-    def drop_from(self, index: int) -> None:
+    def truncate_log_from(self, index: int) -> None:
         """Drop entries that a new leader does not have."""
         if index <= self.commit:
             raise errors.BrokenInvariantError(
@@ -580,13 +587,13 @@
         progress.acked_at = max(progress.acked_at, message.sent_at)
         progress.heard_at = now
         if message.success:
-            self.note_match(message.sender, progress, message.match, now)
+            self.record_match(message.sender, progress, message.match, now)
             return
         common = self.log.last_index_within(message.match, message.match_term)
-        if progress.note_rejected(message.prev_index, common):
+        if progress.record_rejection(message.prev_index, common):
             self.send_append(message.sender, now)
 
-    def note_match(
+    def record_match(
         self,
         sender: str,
         progress: progress_lib.Progress,
@@ -594,12 +601,12 @@
         now: float,
     ) -> None:
         """Note up to where a replica is the same, and send what follows."""
-        progress.note_match(match, now)
+        progress.record_match(match, now)
         self.advance_commit(now)
         # The response may have completed the sender's own removal.
         is_tracked = self.progress.get(sender) is progress
         lacks = progress.next_index <= self.log.last_index
-        if is_tracked and lacks and progress.room:
+        if is_tracked and lacks and progress.available_bytes:
             self.send_append(sender, now)
 
     def advance_commit(self, now: float) -> None:
@@ -614,9 +621,9 @@
         if self.log.term_at(index) != self.term:
             return
         self.commit = index
-        self.after_commit(now)
+        self.on_commit_advanced(now)
 
-    def after_commit(self, now: float) -> None:
+    def on_commit_advanced(self, now: float) -> None:
         """Finish a change of replicas, or step down when not in it."""
         current = self.replica_set
         in_log = self.replica_set_index()
@@ -644,11 +651,11 @@
         Else an empty piece is the heartbeat, as the leader has no entries
         that the replica could be asked about.
         """
-        due = progress.begin_snapshot(self.log.snapshot, now)
+        due = progress.prepare_snapshot(self.log.snapshot, now)
         size = progress_lib.MESSAGE_BYTES if due else 0
-        self.send_piece(identity, progress, size, now)
+        self.send_snapshot_chunk(identity, progress, size, now)
 
-    def send_piece(
+    def send_snapshot_chunk(
         self,
         identity: str,
         progress: progress_lib.Progress,
@@ -680,7 +687,7 @@
         """Collect a snapshot and install it when it is whole."""
         if message.term < self.term:
             return
-        self.follow(message.sender, now)
+        self.on_leader_contact(message.sender, now)
         meta = message.meta
         if meta.index <= self.commit:
             self.reply_snapshot(message, meta.size, True)
@@ -689,10 +696,10 @@
         if received < meta.size:
             self.reply_snapshot(message, received, False)
             return
-        self.install(meta, self.incoming.finish())
+        self.install_snapshot(meta, self.incoming.finish())
         self.reply_snapshot(message, meta.size, True)
 
-    def install(self, meta: log_lib.SnapshotMeta, data: bytes) -> None:
+    def install_snapshot(self, meta: log_lib.SnapshotMeta, data: bytes) -> None:
         """Replace log and state by a snapshot."""
         self.log.restore(meta)
         self.commit = self.applied = meta.index
@@ -730,16 +737,16 @@
         progress.heard_at = now
         if message.done:
             if message.index > progress.match:
-                self.note_match(message.sender, progress, message.index, now)
+                self.record_match(message.sender, progress, message.index, now)
             return
         sending = progress.snapshot
         if sending is None or message.index != sending.index:
             return
-        if progress.note_received(message.received, now):
+        if progress.record_snapshot_received(message.received, now):
             size = progress_lib.MESSAGE_BYTES
-            self.send_piece(message.sender, progress, size, now)
+            self.send_snapshot_chunk(message.sender, progress, size, now)
 
-    def compacted(self, meta: log_lib.SnapshotMeta) -> None:
+    def compact_log(self, meta: log_lib.SnapshotMeta) -> None:
         """Drop what a stored snapshot covers."""
         self.log.compact(meta)
 
@@ -752,16 +759,16 @@
         both, so that a repair swaps a dead replica for a caught-up learner
         in one step and never passes through a smaller set.
         """
-        if not self.is_leader or self.commit < self.term_start:
+        if not self.is_leader or self.commit < self.term_start_index:
             return False
         current = self.replica_set
         if self.replica_set_index() > self.commit:
             return False
         if not current.is_joint and wanted.voters != current.voters:
-            if not self.may_vote(wanted):
+            if not self.new_voters_have_caught_up(wanted):
                 return False
             wanted = attrs.evolve(wanted, old_voters=current.voters)
-        self.append_own(
+        self.append_as_leader(
             log_lib.Entry(
                 term=self.term,
                 index=self.log.last_index + 1,
@@ -773,7 +780,7 @@
         self.flush_appends(now)
         return True
 
-    def may_vote(self, wanted: replicas.ReplicaSet) -> bool:
+    def new_voters_have_caught_up(self, wanted: replicas.ReplicaSet) -> bool:
         """Return whether every new voter has caught up as a learner."""
         known = self.replica_set.voter_identities()
         return all(
@@ -787,4 +794,4 @@
         progress = self.progress.get(identity)
         if progress is None or not progress.match:
             return False
-        return progress.match + PROMOTE_LAG >= self.log.last_index
+        return progress.match + MAX_PROMOTION_LAG >= self.log.last_index
--- a/src/_coltsfootroad/control/reads.py
+++ b/src/_coltsfootroad/control/reads.py
@@ -129,7 +129,7 @@
         "claims": len(node.state.claims.claims),
         "replicas": [
             replica_status(raft, identity, now)
-            for identity in raft.replica_set.everyone()
+            for identity in raft.replica_set.by_identity()
         ],
         "relays": [attrs.asdict(live.relay) for live in hub.relays.values()],
         "entries": [
@@ -145,14 +145,14 @@
 
 def replica_status(raft, identity: str, now: float) -> dict:
     """Return where one replica stands and why it is behind."""
-    replica = raft.replica_set.everyone()[identity]
+    replica = raft.replica_set.by_identity()[identity]
     progress = raft.progress[identity]
     own = identity == raft.identity
     silent_s = 0.0 if own else now - progress.acked_at
     voter = identity in raft.replica_set.voter_identities()
     lag = raft.log.last_index - progress.match
     reason = "current"
-    if silent_s > electiontimer.ELECTION_MAX_S:
+    if silent_s > electiontimer.ELECTION_TIMEOUT_MAX_S:
         reason = "silent"
     elif progress.snapshot is not None:
         reason = "receiving a snapshot"
--- a/src/_coltsfootroad/control/replicas.py
+++ b/src/_coltsfootroad/control/replicas.py
@@ -34,7 +34,7 @@
         """Return whether a change of voters is under way."""
         return bool(self.old_voters)
 
-    def everyone(self) -> dict[str, Replica]:
+    def by_identity(self) -> dict[str, Replica]:
         """Return all replicas by identity."""
         members = self.voters + self.old_voters + self.learners
         return {replica.identity: replica for replica in members}
--- a/src/_coltsfootroad/control/routestore.py
+++ b/src/_coltsfootroad/control/routestore.py
@@ -49,11 +49,11 @@
         """Put a higher version in force; never a lower one."""
         if config.version <= self.version:
             return False
-        self.remember()
+        self.retain_current()
         self.config = config
         return True
 
-    def remember(self) -> None:
+    def retain_current(self) -> None:
         """Keep the version in force, which is about to be replaced."""
         self.deltas.clear()
         if self.config is not None:
--- a/src/_coltsfootroad/control/snapshots.py
+++ b/src/_coltsfootroad/control/snapshots.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define
-class Incoming:
+class IncomingSnapshot:
     """The pieces of one snapshot so far; another one starts anew."""
 
     meta: log_lib.SnapshotMeta | None = None
--- a/src/_coltsfootroad/control/voterwatch.py
+++ b/src/_coltsfootroad/control/votermonitor.py
@@ -9,16 +9,16 @@
 
 # A leader that was called this late has stood still; heartbeats, on which the
 # answers of others depend, are due five times as often.
-STALL_S = 0.5
+STALL_THRESHOLD_S = 0.5
 # A replica that wants votes has asked everybody at least once in this time.
-MISSING_WITHOUT_LEADER_S = 2 * electiontimer.ELECTION_MAX_S
+UNRESPONSIVE_WITHOUT_LEADER_S = 2 * electiontimer.ELECTION_TIMEOUT_MAX_S
 # A voter that has lacked committed entries for this long counts as unavailable:
 # with it alone the leader commits nothing.
-LAGGING_S = 1.0
+LAGGING_AFTER_S = 1.0
 
 
 @attrs.define
-class VoterWatch:
+class VoterMonitor:
     """Tells voters that are silent from those that were not listened to.
 
     Attributes:
@@ -35,11 +35,11 @@
         One that stood still, or has just started, has not taken the answers
         of others: that says nothing of them.
         """
-        if now > self.ticked_at + STALL_S:
+        if now > self.ticked_at + STALL_THRESHOLD_S:
             self.since = now
         self.ticked_at = now
 
-    def silences(self, now: float) -> dict[str, float]:
+    def reply_ages(self, now: float) -> dict[str, float]:
         """Return for how many seconds others have not answered this leader.
 
         A replica that joined lately counts from when it was first sent to.
@@ -50,11 +50,14 @@
             if identity != self.raft.identity
         }
 
-    def unheard(self, now: float) -> dict[str, float]:
+    def contact_ages(self, now: float) -> dict[str, float]:
         """Return how long ago others were heard; inf where never."""
         raft = self.raft
         never = float("-inf")
-        return {i: now - raft.heard_at.get(i, never) for i in raft.others()}
+        return {
+            i: now - raft.last_contact_at.get(i, never)
+            for i in raft.peer_identities()
+        }
 
     def is_uncertain(self, now: float) -> bool:
         """Return whether this replica cannot judge who is available.
@@ -67,29 +70,35 @@
             return True
         if raft.is_leader:
             return False
-        is_new = now < raft.started_at + MISSING_WITHOUT_LEADER_S
-        return is_new or raft.hears_leader(now)
+        is_new = now < raft.started_at + UNRESPONSIVE_WITHOUT_LEADER_S
+        return is_new or raft.has_leader_contact(now)
 
     def view(self, now: float) -> quorum.QuorumView:
         """Return which voters are unavailable, and how many more may fail."""
         raft = self.raft
         if self.is_uncertain(now):
             return quorum.QuorumView(failures_tolerated=None)
-        silences, bound_s = self.unheard(now), MISSING_WITHOUT_LEADER_S
+        reply_ages, bound_s = (
+            self.contact_ages(now),
+            UNRESPONSIVE_WITHOUT_LEADER_S,
+        )
         if raft.is_leader:
-            silences, bound_s = self.silences(now), membership_lib.SILENT_S
+            reply_ages, bound_s = (
+                self.reply_ages(now),
+                membership_lib.UNRESPONSIVE_AFTER_S,
+            )
         voters = raft.replica_set.voter_identities()
         silent = {
             identity: round(silence_s, 2) if silence_s < 1e9 else None
-            for identity, silence_s in silences.items()
+            for identity, silence_s in reply_ages.items()
             if identity in voters and silence_s >= bound_s
         }
         lagging = {
             identity: round(lag_s, 2)
-            for identity, lag_s in self.lags(now).items()
+            for identity, lag_s in self.commit_lags(now).items()
             if identity in voters
             and identity not in silent
-            and lag_s >= LAGGING_S
+            and lag_s >= LAGGING_AFTER_S
         }
         return quorum.QuorumView(
             failures_tolerated=quorum.failures_tolerated(
@@ -99,7 +108,7 @@
             lagging=lagging,
         )
 
-    def lags(self, now: float) -> dict[str, float]:
+    def commit_lags(self, now: float) -> dict[str, float]:
         """Return for how long others lack entries that are committed."""
         if not self.raft.is_leader:
             return {}
@@ -109,12 +118,12 @@
             if identity != self.raft.identity
         }
 
-    def has_no_vote(self, now: float) -> bool:
+    def should_join(self, now: float) -> bool:
         """Return whether this replica is no voter, or may be none any more."""
         raft = self.raft
         if raft.identity not in raft.replica_set.voter_identities():
             return True
-        unheard_s = now - raft.timer.heard_leader_at
+        unheard_s = now - raft.timer.leader_contact_at
         return not raft.is_leader and (
             unheard_s >= membership_lib.REJOIN_AFTER_S
         )
--- a/src/_coltsfootroad/shell/controlserver.py
+++ b/src/_coltsfootroad/shell/controlserver.py
@@ -75,7 +75,7 @@
             ),
             storage=folder,
             send=self.send,
-            wall=time.time,
+            wall_clock=time.time,
             rng=random.Random(),
             started_at=clocks.PROCESS_STARTED,
             membership=membership_lib.Membership(settings.required_voters),
@@ -153,10 +153,10 @@
         The set is whole when the process ends, not a second later.
         """
         node = self.node
-        if not node.raft.others():
+        if not node.raft.peer_identities():
             return
         end = self.loop.time() + LEAVE_S
-        self.guard(node.hand_over, self.clock())
+        self.guard(node.transfer_leadership, self.clock())
         self.note_changes()
         self.link.learn(node.replica_addresses())
         message = messages.LeaveReplica(replica=node.replica)
@@ -177,9 +177,9 @@
     async def join(self) -> None:
         """Ask the leader for a vote whenever this replica has none."""
         while True:
-            if self.node.watch.has_no_vote(self.clock()):
+            if self.node.voter_monitor.should_join(self.clock()):
                 await self.ask_for_vote()
-            await asyncio.sleep(membership_lib.JOIN_EVERY_S)
+            await asyncio.sleep(membership_lib.JOIN_INTERVAL_S)
 
     async def ask_for_vote(self) -> None:
         """Ask the leader for a vote, or begin the system as its first."""
@@ -298,7 +298,7 @@
 
     def send(self, identity: str, message) -> None:
         """Send a message to another replica."""
-        replica = self.node.raft.replica_set.everyone().get(identity)
+        replica = self.node.raft.replica_set.by_identity().get(identity)
         learned = self.learned_addresses.get(identity, "")
         address = replica.address if replica else learned
         if not address:
@@ -369,7 +369,7 @@
                 "settings": self.settings,
                 "info": self.node.info(),
                 "replica_set": raft.replica_set,
-                "quorum": self.node.watch.view(self.clock()),
+                "quorum": self.node.voter_monitor.view(self.clock()),
                 "progress": raft.progress,
                 "log_entries": len(raft.log.entries),
                 "snapshot_index": raft.log.snapshot.index,
@@ -434,7 +434,7 @@
 
     def failures_tolerated(self) -> float | None:
         """Return the fault tolerance, None where only a leader knows it."""
-        return self.node.watch.view(self.clock()).failures_tolerated
+        return self.node.voter_monitor.view(self.clock()).failures_tolerated
 
 
 def role_of(answer: object) -> str:
--- a/src/_coltsfootroad/shell/quorumlog.py
+++ b/src/_coltsfootroad/shell/quorumlog.py
@@ -35,7 +35,7 @@
             self.log_set(self.logged_set, current, now)
             self.logged_set = current
         self.note_role(now)
-        view = self.node.watch.view(now)
+        view = self.node.voter_monitor.view(now)
         if view.is_lost != self.is_lost and view.failures_tolerated is not None:
             self.is_lost = view.is_lost
             self.log_quorum(view)
@@ -63,7 +63,7 @@
                 **self.lateness(now),
             )
             self.led_term = 0
-        if raft.role in CANDIDATES and not raft.timer.heard_lately(now):
+        if raft.role in CANDIDATES and not raft.timer.has_recent_contact(now):
             self.log_campaign(now)
 
     def log_campaign(self, now: float) -> None:
@@ -101,7 +101,7 @@
         if tolerated is None:
             self.tolerated = None
             return
-        is_reduced = tolerated < self.node.membership.losses
+        is_reduced = tolerated < self.node.membership.max_failures
         if not is_reduced:
             self.reduced_since = now
         is_repeat = tolerated == self.tolerated
@@ -146,7 +146,7 @@
     ) -> None:
         """Log a change of the set, and why the leader made it."""
         raft = self.node.raft
-        view = self.node.watch.view(now)
+        view = self.node.voter_monitor.view(now)
         LOG.info(
             "replica set changed",
             before=names(before.voters),
