--- a/src/_coltsfootroad/control/__init__.py
+++ b/src/_coltsfootroad/control/__init__.py
@@ -1,1 +1,4 @@
-"""Durable replicated state: configuration, claims, leases, members."""
+"""Replicated control plane.
+
+Consensus, configuration, claims, leases and members of the fleet.
+"""
--- a/src/_coltsfootroad/control/codec.py
+++ b/src/_coltsfootroad/control/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of typed messages, by msgspec; each carries its class name."""
+"""Encodes typed messages with msgspec, each with its class name."""
 
 import attrs
 from expression import Error
@@ -16,8 +16,8 @@
 class Codec:
     """Encodes and decodes a closed set of message classes.
 
-    Decoders are made when they are needed: programs start sooner, and most
-    never meet most of the messages.
+    Decoders are created on first use, which shortens the start of a program:
+    most programs receive only a few of the message classes.
     """
 
     classes: dict[str, type] = attrs.Factory(dict)
@@ -29,21 +29,21 @@
         return cls({c.__name__: c for c in classes})
 
     def decoder(self, name: str) -> msgspec.msgpack.Decoder:
-        """Return the decoder of a class; raises KeyError for others."""
+        """Return the decoder of a class; raises KeyError if not in the set."""
         if name not in self.decoders:
             kind = self.classes[name]
             self.decoders[name] = msgspec.msgpack.Decoder(kind)
         return self.decoders[name]
 
     def encode(self, message: object) -> bytes:
-        """Return the bytes of a message."""
+        """Return the encoded message."""
         name = type(message).__name__
         if name not in self.classes:
             raise errors.BrokenInvariantError(f"no codec for message {name}")
         return ENCODER.encode((name, message))
 
     def decode(self, data: bytes) -> Result[object, errors.Failure]:
-        """Return the message in `data`, or what is wrong with it."""
+        """Return the decoded message, or an error for invalid data."""
         try:
             name, body = ENVELOPE.decode(data)
             return Ok(self.decoder(name).decode(body))
--- a/src/_coltsfootroad/control/commandlog.py
+++ b/src/_coltsfootroad/control/commandlog.py
@@ -1,7 +1,7 @@
-"""The bytes of a command in the replicated log.
+"""Encodes commands for the replicated log.
 
-The log keeps some dozens of complete versions of the routes in memory and on a
-small disk, so they are kept compressed.
+Large commands are compressed, because the log holds dozens of complete versions
+of the routes in memory and on a small disk.
 """
 
 from expression import Result
@@ -10,16 +10,17 @@
 from _coltsfootroad.control import state as state_lib
 from _coltsfootroad.core import errors
 
-# Shorter commands gain nothing: claims take a few hundred bytes.
+# Smaller commands, such as claims of a few hundred bytes, gain nothing from
+# compression.
 MIN_COMPRESSED_BYTES = 4_096
 
 
 def pack(command: object) -> bytes:
-    """Return the bytes of a command."""
+    """Return the encoded command."""
     data = state_lib.COMMANDS.encode(command)
     return packing.pack(data, MIN_COMPRESSED_BYTES)
 
 
 def unpack(data: bytes) -> Result[object, errors.Failure]:
-    """Return the command in some bytes, or what is wrong with them."""
+    """Return the decoded command, or an error for invalid bytes."""
     return packing.unpack(data).bind(state_lib.COMMANDS.decode)
--- a/src/_coltsfootroad/control/configstore.py
+++ b/src/_coltsfootroad/control/configstore.py
@@ -1,4 +1,4 @@
-"""Numbered configuration versions and the answers to their patches."""
+"""Configuration versions and the replies to their patches."""
 
 import collections
 import json
@@ -19,7 +19,7 @@
 
 @attrs.define
 class PatchRecord:
-    """What a patch id was used for and what was answered."""
+    """Digest of the patch that used a patch id, and the reply to it."""
 
     digest: str
     answer: messages.PatchAnswer
@@ -27,7 +27,15 @@
 
 @attrs.define
 class ConfigStore:
-    """The current document, recent patches, and answers for resends."""
+    """Current configuration, recent patches, and replies for resent patches.
+
+    Attributes:
+        version: Current version, incremented by each accepted patch.
+        document: Current configuration as JSON values.
+        config: Current configuration, parsed.
+        history: Recent patches by the version that they resulted in.
+        answers: Recent patch records by patch id.
+    """
 
     version: int = 0
     document: dict = attrs.Factory(dict)
@@ -36,12 +44,12 @@
     answers: collections.OrderedDict = attrs.Factory(collections.OrderedDict)
 
     def patch(self, command: messages.PatchConfig) -> messages.PatchAnswer:
-        """Apply a patch, or repeat the answer that its id got before."""
+        """Apply a patch, or repeat the earlier reply to its patch id."""
         digest = patch_digest(command)
-        known = self.answers.get(command.patch_id)
-        if known is not None:
-            if known.digest == digest:
-                return known.answer
+        record = self.answers.get(command.patch_id)
+        if record is not None:
+            if record.digest == digest:
+                return record.answer
             return self.refuse(
                 errors.ErrorCode.PATCH_REUSED,
                 f"patch id {command.patch_id!r} was used for another patch",
@@ -53,7 +61,7 @@
         return answer
 
     def apply(self, command: messages.PatchConfig) -> messages.PatchAnswer:
-        """Change the document if the patch is current and valid."""
+        """Apply a patch if its base version is current and it is valid."""
         if command.base_version != self.version:
             return self.refuse(
                 errors.ErrorCode.STALE_VERSION,
@@ -66,12 +74,12 @@
                 errors.ErrorCode.INVALID_CONFIG, "patch is not a JSON object"
             )
         document = config_lib.merge_patch(self.document, patch)
-        checked = config_lib.parse(document)
-        if checked.is_error():
-            return self.refuse(checked.error.code, checked.error.message)
+        parsed = config_lib.parse(document)
+        if parsed.is_error():
+            return self.refuse(parsed.error.code, parsed.error.message)
         self.version += 1
         self.document = document
-        self.config = checked.ok
+        self.config = parsed.ok
         self.history[self.version] = command.patch
         while len(self.history) > MAX_HISTORY:
             self.history.popitem(last=False)
@@ -80,18 +88,22 @@
     def refuse(
         self, code: errors.ErrorCode, message: str
     ) -> messages.PatchAnswer:
-        """Return a refusal that names the current version."""
+        """Return a refusal with the current version."""
         return messages.PatchAnswer(
             version=self.version, failure=errors.Failure(code, message)
         )
 
     def update_since(self, version: int) -> messages.ConfigUpdate | None:
-        """Return what brings `version` up to date; None if it is current."""
+        """Return the update from `version`, None if it is current.
+
+        Sends the patches in between if they are known and small, else the whole
+        document.
+        """
         if version == self.version:
             return None
-        wanted = range(version + 1, self.version + 1)
-        if version >= 0 and all(v in self.history for v in wanted):
-            patches = tuple(self.history[v] for v in wanted)
+        missing = range(version + 1, self.version + 1)
+        if version >= 0 and all(v in self.history for v in missing):
+            patches = tuple(self.history[v] for v in missing)
             if sum(len(p) for p in patches) <= MAX_DELTA_BYTES:
                 return messages.ConfigUpdate(
                     version=self.version, base_version=version, patches=patches
@@ -102,14 +114,14 @@
 
 
 def patch_digest(command: messages.PatchConfig) -> str:
-    """Return a digest of what a patch asks for."""
+    """Return a digest of a patch and its base version."""
     digest = xxhash.xxh3_128(str(command.base_version).encode())
     digest.update(command.patch)
     return digest.hexdigest()
 
 
 def read_json(data: bytes) -> object:
-    """Return decoded JSON, or None when it is none."""
+    """Return the decoded JSON, or None if it is invalid."""
     try:
         return msgspec.json.decode(data)
     except msgspec.MsgspecError:
@@ -119,10 +131,11 @@
 def apply_update(
     version: int, document: dict, update: messages.ConfigUpdate
 ) -> tuple[int, dict] | None:
-    """Return the version and document after an update, never an older one.
+    """Return the version and document after an update.
 
-    Returns None when the update does not fit; the whole document is then
-    asked for. Nothing between the old and the new version is ever in force.
+    Returns None if the update is not newer or is based on another version; the
+    receiver then requests the whole document. Intermediate versions are never
+    in force.
     """
     if update.version <= version:
         return None
@@ -136,5 +149,5 @@
 
 
 def parse_document(document: dict) -> Result:
-    """Return the checked configuration of a document."""
+    """Return the parsed and validated configuration of a document."""
     return config_lib.parse(document)
--- a/src/_coltsfootroad/control/electiontimer.py
+++ b/src/_coltsfootroad/control/electiontimer.py
@@ -1,61 +1,62 @@
-"""When a replica stands for election, and whom it may vote for until then."""
+"""Election timer: when a replica campaigns and when it may grant votes."""
 
 import random
 
 import attrs
 
-# A lost packet is sent again within 0.3 s; an election must not begin for
-# that. Longer times are longer without a leader after a loss, during which
-# gateways that have just started know no routes.
+# A lost packet is retransmitted within 0.3 s, which must not start an election.
+# Longer timeouts delay the election after the loss of a leader, and gateways
+# that start without a leader have no routes.
 HEARTBEAT_INTERVAL_S = 0.1
 ELECTION_TIMEOUT_MIN_S = 0.6
 ELECTION_TIMEOUT_MAX_S = 1.2
-# Clocks may drift by a tenth against each other; a lease ends well before
-# any follower may elect somebody else.
+# Shorter than the minimum election timeout, as clocks may drift by 10 %: a
+# lease ends well before any follower may elect another leader.
 LEADER_LEASE_S = 0.75 * ELECTION_TIMEOUT_MIN_S
-# A replica that has heard no leader since it started asks this often whether
-# it would get votes. Asking disturbs nobody: who hears a leader says no.
+# Interval of pre-votes of a replica that has had no leader since it started. A
+# pre-vote disrupts no leader: voters in contact with one refuse it.
 COLD_START_TIMEOUT_MIN_S = 0.06
 COLD_START_TIMEOUT_MAX_S = 0.18
-# How often it asks again when votes were split, or are long on their way.
+# Interval of its campaigns after a split vote or when replies are slow.
 SPLIT_VOTE_TIMEOUT_MIN_S = 0.15
 SPLIT_VOTE_TIMEOUT_MAX_S = 0.45
 NEVER = float("-inf")
-# Failed elections after which replicas that have heard no leader wait as long
-# as others.
+# Failed elections after which a replica that has had no leader since it started
+# uses the regular election timeout.
 MAX_COLD_START_FAILURES = 1
-# A timer that fires this late shows that the process did not run meanwhile;
-# what others sent is read first.
+# A timer that fires this late shows that the process was stalled. Messages that
+# arrived in the meantime are read first, so the timeout is extended.
 LATE_TICK_S = 0.1
 LATE_TICK_EXTENSION_S = 0.1
-# Largest multiple of the usual timeouts.
+# Largest multiple of the regular election timeout.
 MAX_TIMEOUT_SCALE = 4.0
 MAX_TIMEOUT_DOUBLINGS = 2
-# Multiple of a leader's longest recent gap for which followers wait.
+# Minimum election timeout as a multiple of the leader's longest recent gap.
 LEADER_GAP_MARGIN = 2.0
-# Lateness that has not been seen for this long is forgotten.
+# Leader gaps and failed elections are forgotten after this time.
 LATENESS_RETENTION_S = 10.0
 
 
 @attrs.define
 class ElectionTimer:
-    """The times that decide elections, of one replica.
+    """Election timer of one replica.
 
     Attributes:
-        rng: Draws the pauses.
+        rng: Randomizes the timeouts.
         started_at: When the process started.
-        heard_leader_at: When a leader was last heard; a restarted replica has
-            forgotten whom it heard, and takes its start for that. So it keeps
-            to the promise that it may have made: no votes for a while.
-        election_at: When it stands for election next.
-        ticked: Whether the timer has run since the start.
-        heard_term: Term of the leader that was heard last.
-        leader_gap_s: Longest time between two messages of one leader.
-        leader_gap_at: When it was that long.
-        failed_elections: Elections in a row in which votes were granted and
-            nobody led.
+        leader_contact_at: When the last message of a leader arrived, initially
+            the start of the process. A restarted replica does not know when it
+            last had contact, and must still grant no votes while the lease of
+            that leader may be in force.
+        election_at: When the replica campaigns next.
+        has_ticked: Whether the timer has run since the start.
+        leader_term: Term of the last known leader.
+        leader_gap_s: Longest recent time between two messages of one leader.
+        leader_gap_at: When that gap ended.
+        failed_elections: Consecutive elections in which this replica voted and
+            no leader was elected.
         election_failed_at: When the last of them ended.
-        deferred: Whether the timeout that fired late was extended.
+        is_extended: Whether the current timeout fired late and was extended.
     """
 
     rng: random.Random
@@ -75,9 +76,10 @@
         self.election_at = self.started_at
 
     def start(self, now: float) -> None:
-        """Draw the first time to stand, at the first tick.
+        """Draw the first timeout, at the first tick.
 
-        Replicas that were started at once are ready at once as well.
+        Replicas that are started together also become ready together, so the
+        timeout is random to avoid split votes.
         """
         if not self.has_ticked:
             self.has_ticked = True
@@ -85,22 +87,22 @@
             self.election_at = max(self.election_at, now + pause)
 
     def expire_now(self, now: float) -> None:
-        """Stand now: nobody else exists whose leader could be disturbed."""
+        """Campaign at the next tick, as the only voter of a new system."""
         self.leader_contact_at = NEVER
         self.election_at = now
         self.has_ticked = True
 
     def reset(self, now: float) -> None:
-        """Wait a random time for a leader."""
+        """Start a new random election timeout."""
         pause = self.rng.uniform(ELECTION_TIMEOUT_MIN_S, ELECTION_TIMEOUT_MAX_S)
         self.election_at = now + pause * self.timeout_scale(now)
         self.is_extended = False
 
     def timeout_scale(self, now: float) -> float:
-        """Return by how much timeouts are longer than usual.
+        """Return the factor by which election timeouts are extended.
 
-        Votes and heartbeats of processes that are late take longer than the
-        usual timeouts, so that no election would succeed.
+        Votes and heartbeats of stalled processes and slow disks take longer
+        than the regular timeout, so no election would succeed within it.
         """
         scale = 1.0
         if now < self.leader_gap_at + LATENESS_RETENTION_S:
@@ -112,20 +114,21 @@
         return min(scale, MAX_TIMEOUT_SCALE)
 
     def record_failure(self, now: float) -> None:
-        """Note an election in which votes were granted and nobody led."""
+        """Record an election with granted votes and without a leader."""
         if not self.has_failed_lately(now):
             self.failed_elections = 0
         self.failed_elections += 1
         self.election_failed_at = now
 
     def has_failed_lately(self, now: float) -> bool:
-        """Return whether elections failed within the remembered time."""
+        """Return whether an election failed within the retention time."""
         return now < self.election_failed_at + LATENESS_RETENTION_S
 
     def has_timed_out(self, now: float) -> bool:
-        """Return whether to stand for election, with all messages read.
+        """Return whether the election timeout has expired.
 
-        A timeout that fires late is extended once.
+        A timeout that fires late is extended once, so that pending messages
+        are read before the replica campaigns.
         """
         if now < self.election_at:
             return False
@@ -136,18 +139,20 @@
         return False
 
     def reset_cold_start(self, pre: bool, now: float) -> None:
-        """Wait a short time, as nobody has heard a leader since the start."""
+        """Start the short timeout of a replica that has had no leader yet."""
         is_repeated = self.failed_elections > MAX_COLD_START_FAILURES
         if is_repeated and self.has_failed_lately(now):
             self.reset(now)
             return
-        first = (COLD_START_TIMEOUT_MIN_S, COLD_START_TIMEOUT_MAX_S)
-        split = (SPLIT_VOTE_TIMEOUT_MIN_S, SPLIT_VOTE_TIMEOUT_MAX_S)
-        self.election_at = now + self.rng.uniform(*first if pre else split)
+        pre_vote_range = (COLD_START_TIMEOUT_MIN_S, COLD_START_TIMEOUT_MAX_S)
+        vote_range = (SPLIT_VOTE_TIMEOUT_MIN_S, SPLIT_VOTE_TIMEOUT_MAX_S)
+        self.election_at = now + self.rng.uniform(
+            *pre_vote_range if pre else vote_range
+        )
         self.is_extended = False
 
     def on_leader_message(self, now: float, term: int) -> None:
-        """Note that the leader of a term is heard."""
+        """Record a message of the leader of a term and reset the timeout."""
         if term == self.leader_term:
             self.record_leader_gap(now - self.leader_contact_at, now)
         self.leader_term = term
@@ -155,7 +160,7 @@
         self.reset(now)
 
     def record_leader_gap(self, gap_s: float, now: float) -> None:
-        """Note the time between two messages of one leader."""
+        """Record the time between two messages of one leader."""
         if (
             gap_s >= self.leader_gap_s
             or now >= self.leader_gap_at + LATENESS_RETENTION_S
@@ -165,16 +170,17 @@
 
     @property
     def has_no_leader_since_start(self) -> bool:
-        """Return whether no leader has been heard since the start."""
+        """Return whether there was no leader contact since the start."""
         return self.leader_contact_at <= self.started_at
 
     def is_sticky(self, now: float) -> bool:
-        """Return whether a leader is protected from those who do not hear it.
+        """Return whether votes are refused because a leader may hold a lease.
 
-        Its lease rests on this.
+        Leader stickiness, on which the leader lease depends: a voter grants no
+        vote within the minimum election timeout after its last leader contact.
         """
         return now < self.leader_contact_at + ELECTION_TIMEOUT_MIN_S
 
     def has_recent_contact(self, now: float) -> bool:
-        """Return whether the leader that was heard may lead still."""
+        """Return whether the last known leader may still be leading."""
         return now < self.leader_contact_at + ELECTION_TIMEOUT_MAX_S
--- a/src/_coltsfootroad/control/log.py
+++ b/src/_coltsfootroad/control/log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory, after its snapshot."""
+"""In-memory part of the replicated log: the entries after its snapshot."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What a log entry holds."""
+    """Kind of a log entry."""
 
     NOOP = 0
     COMMAND = 1
@@ -18,7 +18,16 @@
 
 @attrs.frozen(kw_only=True)
 class Entry:
-    """One log entry; `at` is unix seconds of the leader that accepted it."""
+    """One log entry.
+
+    Attributes:
+        term: Term of the leader that appended it.
+        index: Position in the log, from 1.
+        kind: What the entry holds.
+        at: Unix seconds on the clock of the leader that appended it.
+        data: Encoded command, empty for other kinds.
+        replica_set: Replica set in force from this entry on, for `REPLICAS`.
+    """
 
     term: int
     index: int
@@ -30,7 +39,14 @@
 
 @attrs.frozen(kw_only=True)
 class SnapshotMeta:
-    """Where a snapshot ends, and the replicas at that point."""
+    """Metadata of a snapshot.
+
+    Attributes:
+        index: Index of the last entry that it covers.
+        term: Term of that entry.
+        replica_set: Replica set in force at that entry.
+        size: Size of the snapshot in bytes.
+    """
 
     index: int = 0
     term: int = 0
@@ -56,7 +72,7 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term at an index, None when it is not known."""
+        """Return the term of the entry at an index, None if not in the log."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.snapshot.index < index <= self.last_index:
@@ -66,8 +82,9 @@
     def last_index_within(self, index: int, term: int) -> int:
         """Return the largest index up to `index` whose term is at most `term`.
 
-        Two logs that differ at an index agree at none whose term is later
-        than both terms there, so a search for their common part can skip it.
+        Narrows the search for the last matching entry of two logs, where `term`
+        is the other log's term at `index`. Terms never decrease along a log, so
+        an earlier entry of a greater term cannot match.
         """
         index = min(index, self.last_index)
         while index > self.snapshot.index and self.term_at(index) > term:
@@ -95,7 +112,7 @@
         return tuple(found)
 
     def append(self, entry: Entry) -> None:
-        """Add the next entry."""
+        """Append the next entry."""
         if entry.index != self.last_index + 1:
             raise errors.BrokenInvariantError(
                 f"entry {entry.index} does not follow {self.last_index}"
@@ -103,34 +120,35 @@
         self.entries.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from `index` on."""
+        """Remove the entries from `index` on."""
         del self.entries[index - self.snapshot.index - 1 :]
 
     def replica_set(self) -> replicas.ReplicaSet:
-        """Return the newest set in the log; it holds once appended."""
+        """Return the newest replica set, in force as soon as it is appended."""
         for entry in reversed(self.entries):
             if entry.kind is EntryKind.REPLICAS:
                 return entry.replica_set
         return self.snapshot.replica_set
 
     def replica_set_at(self, index: int) -> replicas.ReplicaSet:
-        """Return the set that was in force at an index."""
+        """Return the replica set that was in force at an index."""
         for entry in reversed(self.entries):
             if entry.index <= index and entry.kind is EntryKind.REPLICAS:
                 return entry.replica_set
         return self.snapshot.replica_set
 
     def compact(self, meta: SnapshotMeta) -> None:
-        """Drop the entries that a snapshot covers."""
+        """Remove the entries that a snapshot covers."""
         if meta.index <= self.snapshot.index:
             return
         self.entries = self.entries[meta.index - self.snapshot.index :]
         self.snapshot = meta
 
     def restore(self, meta: SnapshotMeta) -> None:
-        """Start anew from a snapshot that reaches beyond the log."""
+        """Replace all entries by a snapshot that extends beyond the log."""
         self.entries = []
         self.snapshot = meta
 
 
+# Bytes counted for each entry in addition to its data.
 ENTRY_OVERHEAD = 64
--- a/src/_coltsfootroad/control/membership.py
+++ b/src/_coltsfootroad/control/membership.py
@@ -1,10 +1,10 @@
-"""Which replicas get a vote, and which lose it, without an operator.
+"""Automatic membership changes: promotes learners and removes failed voters.
 
-A VM may lose its disk, be replaced at another address, or never come back.
-What is promised: two and a half seconds after the last loss, return or
-replacement, the set bears the next losses that it was made for. So no voter
-that is gone may stay beside a new one: four voters of which one is gone bear no
-loss at all, where three would bear one.
+A VM may lose its disk, be replaced at another address, or never come back. 2.5
+seconds after the last loss, return or replacement, the replica set tolerates
+its configured number of failures again. A failed voter must therefore not stay
+in the set beside its replacement: four voters of which one has failed tolerate
+no further failure, while three healthy voters tolerate one.
 """
 
 import attrs
@@ -17,46 +17,48 @@
 from _coltsfootroad.control import replicas
 from _coltsfootroad.core import errors
 
-# A voter that has not answered ten heartbeats in a row is lost for now. It
-# gives its place to a replica that has caught up, and is taken out where the
-# set bears too little with it. If it was only frozen it asks for a vote when
-# it is back, and has one about a second later, with all that it had stored.
+# A voter that has not replied to ten heartbeats in a row counts as failed. A
+# learner that has caught up replaces it, and it is removed if the set tolerates
+# too few failures with it. If it was only frozen, it asks to join on its return
+# and is a voter again about a second later, with its stored log.
 UNRESPONSIVE_AFTER_S = 1.0
-# Who has answered one of its last three heartbeats runs: a learner that has
-# not gets no vote, a voter that has keeps its name and address to itself.
+# A replica that has replied to one of the last three heartbeats is running.
+# Other learners are not promoted, and no replica may join under the name or
+# address of a running voter.
 RESPONSIVE_WITHIN_S = 0.35
-# A voter without which the set bears as much is taken out after this long; it
-# costs no tolerance, and most that fall silent are back within seconds.
+# An unresponsive voter that does not reduce the fault tolerance below the
+# configured number is removed only after this time, as most return within
+# seconds.
 REMOVE_AFTER_S = 10.0
-# How often a replica without a vote asks for one.
+# Interval at which a replica that is not a voter asks to join.
 JOIN_INTERVAL_S = 0.5
-# A voter that hears no leader for this long asks whether it is one still: it
-# may have lost its vote while it stood still, and those left do not call it.
+# A voter without leader contact for this long asks to join again: it may have
+# been removed while it was frozen, and removed replicas receive no messages.
 REJOIN_AFTER_S = 1.0
 
 
 @attrs.define
 class Membership:
-    """Decides changes of the replica set; only the leader asks.
+    """Plans membership changes on the leader.
 
     `reply_ages` are seconds since the last reply of each other replica, by
     identity.
 
     Attributes:
-        required_voters: Voters that must exist before anything is
-            acknowledged, and below which none is taken out: twice the
-            replicas that may be lost at once, plus one.
+        required_voters: Number of voters that must exist before any command
+            is accepted, and below which none is removed: twice the number of
+            replicas that may fail at once, plus one.
     """
 
     required_voters: int = 1
 
     @property
     def max_failures(self) -> int:
-        """Return how many voters may be lost at once."""
+        """Return how many voters may fail at once."""
         return (self.required_voters - 1) // 2
 
     def is_complete(self, current: replicas.ReplicaSet) -> bool:
-        """Return whether what a quorum holds survives the losses allowed."""
+        """Return whether a quorum is large enough to survive `max_failures`."""
         return len(current.voters) >= self.required_voters
 
     def join_refusal(
@@ -65,18 +67,21 @@
         current: replicas.ReplicaSet,
         reply_ages: dict[str, float],
     ) -> str:
-        """Return why a replica may not ask for a vote, empty if it may.
+        """Return why a replica may not join, empty if it may.
 
-        A new disk takes the place of the one before it by name or address;
-        two programs that are set up alike would take turns at that.
+        A replica with a new disk replaces the voter of the same name or
+        address. Two running programs with the same settings would replace each
+        other in turns.
         """
         for field in ("name", "disk", "address"):
             if not getattr(replica, field):
                 return f"the replica needs {field}, which is empty"
         for voter in current.voters:
-            # The leader is not among the silences: it runs.
-            answers = reply_ages.get(voter.identity, 0.0) < RESPONSIVE_WITHIN_S
-            if voter.identity == replica.identity or not answers:
+            # `reply_ages` does not contain the leader, which is running.
+            is_running = (
+                reply_ages.get(voter.identity, 0.0) < RESPONSIVE_WITHIN_S
+            )
+            if voter.identity == replica.identity or not is_running:
                 continue
             for field in ("name", "address"):
                 if getattr(voter, field) == getattr(replica, field):
@@ -89,13 +94,13 @@
     def plan_learner(
         self, replica: replicas.Replica, current: replicas.ReplicaSet
     ) -> messages.ChangeReplicas | None:
-        """Return the change that lets a stranger learn, None if it is known."""
+        """Return the change that adds a learner, None if it is a member."""
         if replica.identity in current.by_identity():
             return None
         return messages.ChangeReplicas(
             action=messages.ReplicaAction.LEARN,
             replica=replica,
-            reason=f"{replica.identity} asked for a vote and learns first",
+            reason=f"{replica.identity} asked to join, added as a learner",
         )
 
     def plan_promotion(
@@ -104,19 +109,19 @@
         reply_ages: dict[str, float],
         caught_up: set[str],
     ) -> messages.ChangeReplicas | None:
-        """Return the change that gives a learner a vote, None for now.
+        """Return the promotion of a learner to voter, None if not yet possible.
 
         Args:
-            current: The set in force.
+            current: The replica set in force.
             reply_ages: Seconds since the last reply of each replica.
-            caught_up: Learners that hold nearly all of the log; others must
-                not keep them, or the removal of a voter, waiting.
+            caught_up: Learners that hold nearly all of the log. Other learners
+                must not delay their promotion or the removal of a voter.
         """
         for learner in current.learners:
-            answered_s = reply_ages.get(learner.identity, UNRESPONSIVE_AFTER_S)
+            reply_age_s = reply_ages.get(learner.identity, UNRESPONSIVE_AFTER_S)
             if (
                 learner.identity not in caught_up
-                or answered_s >= RESPONSIVE_WITHIN_S
+                or reply_age_s >= RESPONSIVE_WITHIN_S
             ):
                 continue
             replaced = self.replaced_by(learner, current, reply_ages)
@@ -124,8 +129,8 @@
                 action=messages.ReplicaAction.PROMOTE,
                 replica=learner,
                 replaces=replaced,
-                reason=f"{learner.identity} has caught up, in place of"
-                f" {replaced or 'nobody'}",
+                reason=f"{learner.identity} has caught up, replaces"
+                f" {replaced or 'no voter'}",
             )
         return None
 
@@ -135,20 +140,20 @@
         current: replicas.ReplicaSet,
         reply_ages: dict[str, float],
     ) -> str:
-        """Return whose vote a learner takes over, empty if it gets one more.
+        """Return the voter that a learner replaces, empty to add a voter.
 
-        Beside a voter that has just fallen silent it gets one more; if that
-        one is lost, it is taken out as soon as that shows.
+        A voter that stopped replying less than `UNRESPONSIVE_AFTER_S` ago is
+        not replaced. If it has failed, it is removed later.
         """
         for voter in current.voters:
             if voter.name == learner.name or voter.address == learner.address:
                 return voter.identity
         if not self.is_complete(current):
             return ""
-        silent = longest_unresponsive(current.voters, reply_ages)
+        unresponsive = longest_unresponsive(current.voters, reply_ages)
         return (
-            silent
-            if reply_ages.get(silent, 0.0) >= UNRESPONSIVE_AFTER_S
+            unresponsive
+            if reply_ages.get(unresponsive, 0.0) >= UNRESPONSIVE_AFTER_S
             else ""
         )
 
@@ -158,24 +163,24 @@
         current: replicas.ReplicaSet,
         reply_ages: dict[str, float],
     ) -> messages.ChangeReplicas | None:
-        """Return the removal of a voter that stops, None if it is to stay.
+        """Return the removal of a voter that is stopping, None to keep it.
 
-        It stays where the set bears enough without an answer from it: it is
-        probably only restarted, and need not learn again then.
+        It is kept if the set tolerates enough failures while it is down: it is
+        probably restarting, and need not join as a learner again.
         """
-        gone = {replica.identity: UNRESPONSIVE_AFTER_S}
-        if not self.can_remove(replica.identity, current, reply_ages | gone):
+        stopped = {replica.identity: UNRESPONSIVE_AFTER_S}
+        if not self.can_remove(replica.identity, current, reply_ages | stopped):
             return None
         return messages.ChangeReplicas(
             action=messages.ReplicaAction.REMOVE,
             replica=replica,
-            reason=f"{replica.identity} stops",
+            reason=f"{replica.identity} is stopping",
         )
 
     def plan_removal(
         self, current: replicas.ReplicaSet, reply_ages: dict[str, float]
     ) -> messages.ChangeReplicas | None:
-        """Return the removal of a silent replica that can be spared."""
+        """Return the removal of an unresponsive replica, None if not due."""
         identity = longest_unresponsive(current.learners, reply_ages)
         if reply_ages.get(identity, 0.0) < REMOVE_AFTER_S:
             identity = longest_unresponsive(current.voters, reply_ages)
@@ -184,7 +189,7 @@
         return messages.ChangeReplicas(
             action=messages.ReplicaAction.REMOVE,
             replica=current.by_identity()[identity],
-            reason=f"{identity} has been silent for"
+            reason=f"{identity} has not replied for"
             f" {reply_ages[identity]:.1f} s",
         )
 
@@ -194,13 +199,15 @@
         current: replicas.ReplicaSet,
         reply_ages: dict[str, float],
     ) -> bool:
-        """Return whether a voter is silent and the set is better without."""
+        """Return whether a voter is unresponsive and may be removed."""
         if not identity or len(current.voters) <= self.required_voters:
             return False
-        silent = {i for i, s in reply_ages.items() if s >= UNRESPONSIVE_AFTER_S}
-        if identity not in silent:
+        unresponsive = {
+            i for i, s in reply_ages.items() if s >= UNRESPONSIVE_AFTER_S
+        }
+        if identity not in unresponsive:
             return False
-        tolerated = quorum.failures_tolerated(current, silent)
+        tolerated = quorum.failures_tolerated(current, unresponsive)
         return (
             tolerated < self.max_failures
             or reply_ages[identity] >= REMOVE_AFTER_S
@@ -208,20 +215,20 @@
 
 
 def longest_unresponsive(
-    among: tuple[replicas.Replica, ...], reply_ages: dict[str, float]
+    candidates: tuple[replicas.Replica, ...], reply_ages: dict[str, float]
 ) -> str:
-    """Return the replica that has been silent longest, empty if none is."""
-    known = [r.identity for r in among if r.identity in reply_ages]
+    """Return the replica with the oldest last reply, empty if none is known."""
+    known = [r.identity for r in candidates if r.identity in reply_ages]
     return max(known, key=reply_ages.__getitem__, default="")
 
 
 def requested_set(
     current: replicas.ReplicaSet, message: messages.ChangeReplicas
 ) -> Result[replicas.ReplicaSet, errors.Failure]:
-    """Return the set that a change asks for, or why it is refused."""
+    """Return the replica set that a change results in, or its refusal."""
     identity = message.replica.identity
     voters = tuple(r for r in current.voters if r.identity != identity)
-    # An earlier disk of the same replica will not come back.
+    # A learner of the same name is an earlier disk that is gone for good.
     learners = tuple(
         r for r in current.learners if r.name != message.replica.name
     )
@@ -243,5 +250,5 @@
 
 
 def refuse(message: str) -> Result[replicas.ReplicaSet, errors.Failure]:
-    """Return the refusal of a change of replicas."""
+    """Return the refusal of a membership change."""
     return Error(errors.Failure(errors.ErrorCode.BAD_REQUEST, message))
--- a/src/_coltsfootroad/control/node.py
+++ b/src/_coltsfootroad/control/node.py
@@ -1,4 +1,7 @@
-"""One replica: consensus, state, and while leading the hub; no sockets."""
+"""One replica of the control plane, without network I/O.
+
+Combines consensus, storage, the state machine, and the hub while leading.
+"""
 
 import collections
 from collections.abc import Callable
@@ -28,13 +31,13 @@
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import errors
 
+# Size of the log at which a snapshot is saved. The log holds complete versions
+# of the routes and has to stay far below the memory and disk of a small VM.
 SNAPSHOT_ENTRIES = 4_096
-# The log has to stay far below the memory and disk of a small VM, and holds
-# complete versions of the routes.
 SNAPSHOT_BYTES = 8 * 1024 * 1024
 FULL_DISK_RETRY_S = 1.0
 MAX_PENDING_COMMANDS = 10_000
-# Faults that are kept until they are logged.
+# Maximum number of faults kept until they are logged.
 MAX_FAULTS = 100
 Reply = Callable[[object], None]
 Send = Callable[[str, peers.PeerMessage], None]
@@ -54,12 +57,12 @@
 
 @attrs.frozen
 class CallFault:
-    """A command that could not be applied, or a call without an answer.
+    """An exception raised while a command was applied or a call answered.
 
     Attributes:
-        index: The command's entry, None for a call.
-        kind: Name of the message.
-        fault: The trace of the error.
+        index: Index of the command's log entry, None for a call.
+        kind: Class name of the message.
+        fault: Traceback of the exception.
     """
 
     index: int | None
@@ -69,7 +72,12 @@
 
 @attrs.define
 class PendingCommand:
-    """Somebody who waits for a proposed command to be applied."""
+    """A proposed command whose reply is sent once it is applied.
+
+    Attributes:
+        term: Term in which it was proposed.
+        reply: Called once with the reply.
+    """
 
     term: int
     reply: Reply
@@ -77,13 +85,31 @@
 
 @attrs.define
 class ControlNode:
-    """Runs one replica; the shell gives it messages, calls and time.
+    """Runs one replica; the caller passes in messages, calls and the time.
 
     Attributes:
-        replica: Who this is.
-        storage: Its disk.
-        send: Sends a message to another replica; may lose it.
-        wall: Returns unix seconds, for what must outlive processes.
+        replica: Name, disk and address of this replica.
+        storage: Its durable storage.
+        send: Sends a message to another replica, which may be lost.
+        wall_clock: Returns unix seconds, for times that outlive a process.
+        rng: Randomizes election timeouts.
+        started_at: When the process started.
+        raft: Consensus state.
+        state: State machine that committed commands are applied to.
+        hub: Live state of the fleet, only while leading.
+        mirror: Copy of the leader's hub, from which a new leader's hub starts.
+        pending_commands: Commands that wait to be applied, by log index.
+        pending_ready: The `Ready` that could not be stored on a full disk.
+        blocked_until: When a full disk is tried again.
+        snapshot_due_at: When a snapshot that failed is tried again.
+        syncs: Number of syncs, for the metrics.
+        is_processing: Whether `process` is running.
+        log_bytes: Size of the commands applied since the last snapshot.
+        faults: Faults that are not logged yet.
+        voter_monitor: Availability of the other voters.
+        change_reason: Reason of this leader's last membership change, for the
+            log.
+        membership: Plans membership changes.
     """
 
     replica: replicas.Replica
@@ -95,7 +121,6 @@
     raft: raft_lib.Raft = attrs.field(init=False)
     state: state_lib.ControlState = attrs.field(init=False)
     hub: hub_lib.Hub | None = None
-    # What it knows while another replica leads, and what it begins with.
     mirror: mirror_lib.Mirror = attrs.field()
     pending_commands: dict[int, PendingCommand] = attrs.Factory(dict)
     pending_ready: list[ready_lib.Ready] = attrs.Factory(list)
@@ -108,7 +133,6 @@
         factory=lambda: collections.deque(maxlen=MAX_FAULTS)
     )
     voter_monitor: votermonitor.VoterMonitor = attrs.field(init=False)
-    # Why this replica, as leader, changed the set last; for the log.
     change_reason: str = ""
     membership: membership_lib.Membership = attrs.Factory(
         membership_lib.Membership
@@ -140,11 +164,14 @@
 
     @property
     def is_blocked(self) -> bool:
-        """Return whether a full disk keeps this replica from acting."""
+        """Return whether this replica is waiting for space on its disk."""
         return bool(self.pending_ready)
 
     def bootstrap(self, now: float) -> bool:
-        """Become the only voter of a new system; only on an empty disk."""
+        """Create a new system with this replica as its only voter.
+
+        Returns False, without a change, if the storage is not empty.
+        """
         if self.raft.log.last_index or self.raft.term:
             return False
         entry = log_lib.Entry(
@@ -160,7 +187,7 @@
         return True
 
     def tick(self, now: float) -> None:
-        """Run the timers."""
+        """Run the Raft timers and plan membership changes."""
         if not self.is_blocked:
             self.raft.tick(now)
             self.update_membership(now)
@@ -168,20 +195,20 @@
         self.process(now)
 
     def next_wake(self) -> float:
-        """Return when `tick` is wanted next."""
+        """Return when `tick` is due next."""
         return self.blocked_until if self.is_blocked else self.raft.next_wake()
 
     def on_peer(self, message: peers.PeerMessage, now: float) -> None:
-        """Take a message from another replica."""
+        """Handle a message from another replica."""
         if not self.is_blocked:
             self.raft.step(message, now)
             self.process(now)
 
     def process(self, now: float) -> None:
-        """Store, sync, send and apply until there is nothing to do."""
+        """Store, sync, send and apply until there is no more work."""
         if self.is_processing:
-            # A reply made while applying may lead to a call; the loop
-            # below picks up what it proposed.
+            # A reply during `apply` may trigger a call. The running loop
+            # processes the command that it proposes.
             return
         self.is_processing = True
         try:
@@ -192,7 +219,7 @@
         self.update_hub(now)
 
     def process_next(self, now: float) -> bool:
-        """Carry out one `Ready`; return whether there may be another."""
+        """Carry out one `Ready`; return whether there may be more work."""
         self.raft.flush_appends(now)
         if not self.pending_ready:
             ready = self.raft.take_ready()
@@ -216,7 +243,7 @@
         return True
 
     def persist(self, ready: ready_lib.Ready) -> bool:
-        """Store and sync; return False when the disk is full."""
+        """Store and sync a `Ready`; return False if the disk is full."""
         if not ready.must_sync():
             return True
         self.syncs += 1
@@ -238,7 +265,7 @@
         return self.storage.store(batch).is_ok()
 
     def apply(self, entry: log_lib.Entry) -> None:
-        """Apply a committed entry and answer whoever waits for it."""
+        """Apply a committed entry and reply to its pending command."""
         self.log_bytes += len(entry.data)
         answer: object = outcomes.Done()
         if entry.kind is log_lib.EntryKind.COMMAND:
@@ -246,19 +273,19 @@
             if command.is_error():
                 raise errors.BrokenInvariantError(command.error.message)
             answer = self.apply_command(command.ok, entry)
-        waiter = self.pending_commands.pop(entry.index, None)
-        if waiter is None:
+        pending = self.pending_commands.pop(entry.index, None)
+        if pending is None:
             return
-        if waiter.term == entry.term:
-            waiter.reply(answer)
+        if pending.term == entry.term:
+            pending.reply(answer)
         else:
-            waiter.reply(unavailable("another leader took over"))
+            pending.reply(unavailable("another leader took over"))
 
     def apply_command(self, command: object, entry: log_lib.Entry) -> object:
-        """Apply a command; one that fails is skipped by every replica.
+        """Apply a command; skip it on an exception, as every replica does.
 
-        Otherwise it would end each replica that applies it, again after each
-        start.
+        Otherwise it would terminate each replica that applies it, and again
+        after each restart.
         """
         try:
             return self.state.apply(command, entry.at)
@@ -268,9 +295,10 @@
             return self.refuse_after_fault(command, entry.index)
 
     def answer_read(self, message: object, now: float) -> object:
-        """Answer a call that changes nothing durable; refuse it on a fault.
+        """Answer a call that changes no durable state.
 
-        Otherwise a caller would end each replica that leads in turn.
+        Refuses the call on an exception. Otherwise a retried call would
+        terminate one leader after another.
         """
         try:
             return reads.answer(self, message, now)
@@ -282,7 +310,7 @@
     def refuse_after_fault(
         self, message: object, index: int | None
     ) -> outcomes.Refused:
-        """Keep the present error for the log, and refuse as internal."""
+        """Record the current exception for the log; return the refusal."""
         name = type(message).__name__
         self.faults.append(CallFault(index, name, traceback.format_exc()))
         return outcomes.Refused(
@@ -293,10 +321,13 @@
         )
 
     def maybe_snapshot(self, now: float) -> None:
-        """Save a snapshot when the log has grown long."""
+        """Save a snapshot and compact the log if it has grown too large."""
         raft = self.raft
-        grown = raft.applied - raft.log.snapshot.index
-        if grown < SNAPSHOT_ENTRIES and self.log_bytes < SNAPSHOT_BYTES:
+        applied_entries = raft.applied - raft.log.snapshot.index
+        if (
+            applied_entries < SNAPSHOT_ENTRIES
+            and self.log_bytes < SNAPSHOT_BYTES
+        ):
             return
         if now < self.snapshot_due_at:
             return
@@ -318,7 +349,7 @@
             self.snapshot_due_at = now + FULL_DISK_RETRY_S
 
     def update_hub(self, now: float) -> None:
-        """Keep a hub exactly while leading."""
+        """Create or drop the hub as this replica starts or stops leading."""
         ready = self.raft.is_leader and (
             self.raft.applied >= self.raft.term_start_index
         )
@@ -333,7 +364,7 @@
             self.fail_pending_commands()
 
     def create_hub(self, now: float) -> hub_lib.Hub:
-        """Return the hub of a new leader, which goes on from a good copy."""
+        """Return the hub of a new leader, based on its mirror if current."""
         heard_since = self.mirror.heard_since
         if not self.mirror.is_good(now):
             self.mirror.book.clear()
@@ -349,15 +380,15 @@
         return hub
 
     def fail_pending_commands(self) -> None:
-        """Tell those who wait that the outcome is not known here."""
+        """Reply to all pending commands that their outcome is unknown."""
         pending_commands, self.pending_commands = self.pending_commands, {}
-        for waiter in pending_commands.values():
-            waiter.reply(unavailable("this replica stopped leading"))
+        for pending in pending_commands.values():
+            pending.reply(unavailable("this replica stopped leading"))
 
     # --- calls -----------------------------------------------------------
 
     def call(self, message: object, now: float, reply: Reply) -> None:
-        """Carry out a call; `reply` is called once, now or later."""
+        """Handle a call; `reply` is called once, now or later."""
         if isinstance(message, messages.ReplicaHello):
             reply(self.info())
         elif isinstance(message, COMMANDS):
@@ -380,24 +411,24 @@
     def take_crashes(
         self, report: crashreports.ReportCrashes, reply: Reply, now: float
     ) -> None:
-        """Take a gateway's report of crashes and replicate what follows.
+        """Handle a gateway's crash report and propose resulting quarantines.
 
-        A conviction that cannot be replicated now follows again from the next
-        report.
+        A quarantine that cannot be replicated now is proposed again with the
+        next report.
         """
         for command in self.hub.take_crashes(report, now):
             self.propose(command, now, discard_reply)
         reply(outcomes.Done())
 
     def convict_late(self, now: float) -> None:
-        """Replicate what crashes prove some time after their reports."""
+        """Propose quarantines that become due some time after a report."""
         if self.hub is None or not self.raft.has_lease(now):
             return
         for command in self.hub.convict_late(now):
             self.propose(command, now, discard_reply)
 
     def propose(self, command: object, now: float, reply: Reply) -> None:
-        """Replicate a command; the reply comes once it is applied."""
+        """Propose a command; reply once it is applied."""
         if not self.membership.is_complete(self.raft.replica_set):
             reply(unavailable("the replicas have not all joined yet"))
             return
@@ -416,22 +447,22 @@
         if index is None:
             reply(outcomes.NotLeader(hint=self.leader_address()))
             return
-        # The shell calls `process` once per turn of the loop, so that
-        # commands that arrive together share one sync.
+        # The caller runs `process` once per iteration of the event loop, so
+        # that commands that arrive together share one sync.
         self.pending_commands[index] = PendingCommand(self.raft.term, reply)
 
     def change_replicas(
         self, message: messages.ChangeReplicas, now: float, reply: Reply
     ) -> None:
-        """Change the set of replicas, if nothing speaks against it."""
+        """Propose a membership change, or refuse an invalid one."""
         current = self.raft.replica_set
-        wanted = membership_lib.requested_set(current, message)
-        if wanted.is_error():
-            reply(outcomes.Refused(failure=wanted.error))
-        elif wanted.ok == current:
+        target_set = membership_lib.requested_set(current, message)
+        if target_set.is_error():
+            reply(outcomes.Refused(failure=target_set.error))
+        elif target_set.ok == current:
             reply(outcomes.Done())
-        elif self.raft.change_replicas(wanted.ok, now):
-            self.change_reason = message.reason or "asked for by an operator"
+        elif self.raft.change_replicas(target_set.ok, now):
+            self.change_reason = message.reason or "requested by an operator"
             index = self.raft.log.last_index
             self.pending_commands[index] = PendingCommand(self.raft.term, reply)
             self.process(now)
@@ -446,13 +477,13 @@
     def join(
         self, message: messages.JoinReplica, reply: Reply, now: float
     ) -> None:
-        """Let a replica learn; it gets a vote once it has caught up."""
+        """Add a replica as a learner, which is promoted once it caught up."""
         current = self.raft.replica_set
-        fault = self.membership.join_refusal(
+        reason = self.membership.join_refusal(
             message.replica, current, self.voter_monitor.reply_ages(now)
         )
-        if fault:
-            failure = errors.Failure(errors.ErrorCode.BAD_REQUEST, fault)
+        if reason:
+            failure = errors.Failure(errors.ErrorCode.BAD_REQUEST, reason)
             reply(outcomes.Refused(failure=failure))
             return
         change = self.membership.plan_learner(message.replica, current)
@@ -464,7 +495,7 @@
     def leave(
         self, message: messages.LeaveReplica, reply: Reply, now: float
     ) -> None:
-        """Take the vote of a replica that stops, where it can be spared."""
+        """Remove a voter that is stopping, if the fault tolerance requires."""
         change = self.membership.plan_leave(
             message.replica,
             self.raft.replica_set,
@@ -476,13 +507,13 @@
             self.change_replicas(change, now, reply)
 
     def transfer_leadership(self, now: float) -> None:
-        """Stop leading, if this replica does, in favour of another one."""
+        """Transfer the leadership to another replica, if this one leads."""
         if self.raft.peer_identities() and not self.is_blocked:
             self.raft.transfer_leadership(now)
             self.process(now)
 
     def update_membership(self, now: float) -> None:
-        """As leader, let learners vote and take out who has fallen silent."""
+        """As leader, promote learners and remove unresponsive replicas."""
         self.voter_monitor.tick(now)
         current = self.raft.replica_set
         if not self.raft.has_lease(now) or current.is_joint:
@@ -499,15 +530,15 @@
         if change is not None:
             self.change_replicas(change, now, discard_reply)
 
-    # --- facts -----------------------------------------------------------
+    # --- state -----------------------------------------------------------
 
     def replica_addresses(self) -> tuple[str, ...]:
         """Return the addresses of all replicas."""
-        known = self.raft.replica_set.by_identity().values()
-        return tuple(replica.address for replica in known)
+        members = self.raft.replica_set.by_identity().values()
+        return tuple(replica.address for replica in members)
 
     def info(self) -> messages.ReplicaInfo:
-        """Return who this is and where it stands."""
+        """Return the identity, role and log position of this replica."""
         return messages.ReplicaInfo(
             replica=self.replica,
             role=self.raft.role.value,
@@ -519,17 +550,17 @@
         )
 
     def leader_address(self) -> str:
-        """Return the address of the leader as far as it is known."""
-        known = self.raft.replica_set.by_identity().get(self.raft.leader)
-        return known.address if known is not None else ""
+        """Return the address of the known leader, empty for none."""
+        leader = self.raft.replica_set.by_identity().get(self.raft.leader)
+        return leader.address if leader is not None else ""
 
 
 def discard_reply(_: object) -> None:
-    """Drop an answer that nobody waits for; the step is tried again."""
+    """Ignore the reply to a command that is proposed again on failure."""
 
 
 def unavailable(reason: str) -> outcomes.Refused:
-    """Return the refusal of a call that may be tried again."""
+    """Return the refusal of a call that may be retried."""
     return outcomes.Refused(
         failure=errors.Failure(
             errors.ErrorCode.UNAVAILABLE, reason, errors.Ran.UNKNOWN, 0.5
--- a/src/_coltsfootroad/control/outcomes.py
+++ b/src/_coltsfootroad/control/outcomes.py
@@ -1,4 +1,4 @@
-"""Answers that many calls to the control state share."""
+"""Replies that several calls to the control plane share."""
 
 import attrs
 
@@ -7,18 +7,21 @@
 
 @attrs.frozen(kw_only=True)
 class Done:
-    """Plain acknowledgement."""
+    """Acknowledgement without a result."""
 
 
 @attrs.frozen(kw_only=True)
 class NotLeader:
-    """The asked replica does not lead; `hint` may name one that does."""
+    """The called replica is not the leader.
+
+    `hint` is the address of the leader, empty if unknown.
+    """
 
     hint: str = ""
 
 
 @attrs.frozen(kw_only=True)
 class Refused:
-    """A call that was not carried out, and why."""
+    """Refusal of a call, with its reason."""
 
     failure: errors.Failure
--- a/src/_coltsfootroad/control/packing.py
+++ b/src/_coltsfootroad/control/packing.py
@@ -1,8 +1,8 @@
-"""Compresses encoded messages where that is worth its processor time.
+"""Compresses encoded messages from a minimum size on.
 
-A complete version of the routes takes 100 KB and more, mostly repeated words,
-and so do tables of endpoints and members. Compressed they take a tenth; a fast
-level costs one or two milliseconds for 100 KB.
+A complete version of the routes takes 100 KB or more of repetitive text, as do
+tables of endpoints and members. Compression reduces them to a tenth; the
+fastest level takes one to two milliseconds of CPU time for 100 KB.
 """
 
 import zlib
@@ -14,9 +14,9 @@
 from _coltsfootroad.core import errors
 
 LEVEL = 1
-# First byte of compressed data; an encoded message begins with another one.
+# First byte of compressed data; no encoded message begins with it.
 COMPRESSED = b"\x78"
-# Longest message that is unpacked: short data must not fill the memory.
+# Maximum decompressed size: a small message must not exhaust the memory.
 MAX_PLAIN_BYTES = 64 * 1024 * 1024
 
 
@@ -28,7 +28,7 @@
 
 
 def unpack(data: bytes) -> Result[bytes, errors.Failure]:
-    """Return the data as it was encoded, or what is wrong with it."""
+    """Return the decompressed data, or an error for invalid data."""
     if not data.startswith(COMPRESSED):
         return Ok(data)
     unpacker = zlib.decompressobj()
@@ -42,5 +42,5 @@
 
 
 def decode_error(message: str) -> Result[bytes, errors.Failure]:
-    """Return the refusal of some data."""
+    """Return the error for data that cannot be decompressed."""
     return Error(errors.Failure(errors.ErrorCode.BAD_REQUEST, message))
--- a/src/_coltsfootroad/control/peers.py
+++ b/src/_coltsfootroad/control/peers.py
@@ -1,4 +1,7 @@
-"""Messages between replicas."""
+"""Raft messages between replicas.
+
+Class and field names are part of the wire format.
+"""
 
 import enum
 
@@ -18,12 +21,18 @@
 
 @attrs.frozen(kw_only=True)
 class VoteRequest:
-    """Ask for a vote; with `pre` only whether one would be given.
+    """Request for a vote, or for a pre-vote.
 
-    `all_idle` says that every voter has just answered that it has heard no
-    leader since it started and would give its vote; `handed_over` that the
-    leader of the term before has asked the sender to take over, and given up
-    its lease first.
+    Attributes:
+        term: Term of the campaign.
+        sender: Identity of the candidate.
+        pre: Whether this is a pre-vote, which changes no term.
+        last_index: Index of the last entry of the candidate's log.
+        last_term: Term of that entry.
+        all_idle: Every voter has just replied that it has had no leader since
+            it started and would grant its vote.
+        handed_over: The leader of the previous term has transferred its
+            leadership to the sender and ended its lease before.
     """
 
     term: int
@@ -37,10 +46,17 @@
 
 @attrs.frozen(kw_only=True)
 class VoteReply:
-    """Answer to a vote request of `term`.
+    """Reply to a vote request.
 
-    `idle` says that the sender has heard no leader since it started, and would
-    vote so if all others say the same.
+    Attributes:
+        term: Term of the voter.
+        sender: Identity of the voter.
+        pre: As in the request.
+        granted: Whether the vote is granted.
+        asked_term: Term of the request.
+        idle: The voter has had no leader since it started, and would grant its
+            vote if all other voters are idle as well.
+        refusal: Why the vote is refused, None if it is granted.
     """
 
     term: int
@@ -54,7 +70,17 @@
 
 @attrs.frozen(kw_only=True)
 class Append:
-    """Entries, and the heartbeat; `sent_at` is the leader's own clock."""
+    """AppendEntries request; without entries a heartbeat or a probe.
+
+    Attributes:
+        term: Term of the leader.
+        sender: Identity of the leader.
+        prev_index: Index of the entry before `entries`.
+        prev_term: Term of that entry.
+        entries: Entries to append, may be empty.
+        commit: Commit index of the leader.
+        sent_at: When it was sent, on the leader's own clock.
+    """
 
     term: int
     sender: str
@@ -67,14 +93,17 @@
 
 @attrs.frozen(kw_only=True)
 class AppendReply:
-    """Answer to an append.
+    """Reply to an append.
 
     Attributes:
+        term: Term of the follower.
+        sender: Identity of the follower.
+        success: Whether the entry at `prev_index` matched.
         prev_index: As in the append.
-        match: Up to here the log is the leader's; of a rejection, the last
-            index at which it may be.
-        match_term: Term of the entry at `match`, 0 where it is not known.
+        match: Index of the last entry that matches the leader's log; in a
+            rejection, of the last entry that may match.
         sent_at: As in the append, for the leader's lease.
+        match_term: Term of the entry at `match`, 0 if unknown.
     """
 
     term: int
@@ -88,7 +117,7 @@
 
 @attrs.frozen(kw_only=True)
 class SnapshotChunk:
-    """A piece of a snapshot for a replica whose log is too far behind."""
+    """Chunk of a snapshot, for a replica that lacks compacted entries."""
 
     term: int
     sender: str
@@ -100,7 +129,7 @@
 
 @attrs.frozen(kw_only=True)
 class SnapshotReply:
-    """How much of a snapshot has arrived; `done` once it is installed."""
+    """Reply to a chunk: bytes received so far, `done` once installed."""
 
     term: int
     sender: str
--- a/src/_coltsfootroad/control/progress.py
+++ b/src/_coltsfootroad/control/progress.py
@@ -1,10 +1,10 @@
 """Replication progress of a follower, as the leader tracks it.
 
-Entries go out only to a follower whose log is known to match up to the entry
-before them. Until then empty appends probe for that entry, one per response or
-heartbeat, so a search costs no bulk. Afterwards entries are pipelined within a
-window, and are sent again after growing pauses: a log of megabytes must not
-fill the leader's link and delay heartbeats.
+Entries are sent only to a follower whose log is known to match up to the entry
+before them. Until then empty appends probe for that entry, one per reply or
+heartbeat, so the search transfers no entries. Afterwards entries are pipelined
+within a window and resent with exponential backoff: a log of several megabytes
+must not saturate the leader's link and delay heartbeats.
 """
 
 import collections
@@ -14,14 +14,14 @@
 
 from _coltsfootroad.control import log as log_lib
 
-# Bytes of entries, or of a snapshot, that may be under way to one replica: a
-# link of 10 Mbit/s carries them in a quarter of a leader's lease.
+# Bytes of entries or of a snapshot that may be in flight to one replica. A link
+# of 10 Mbit/s transfers them in a quarter of a leader lease.
 WINDOW_BYTES = 128 * 1024
-# Most bytes of one message, so that a window holds several.
+# Maximum size of one message, so that a window holds several.
 MESSAGE_BYTES = 64 * 1024
-# Without an answer that takes it further, a replica is sent the same again
-# after this time; the time doubles with each repetition. Messages arrive in
-# order, so a loss mostly shows sooner, by an answer that does not fit.
+# Without a reply that shows progress, in-flight data is resent after this time,
+# which doubles with each resend. Messages arrive in order, so most losses are
+# found sooner, by a rejected append.
 RESEND_MIN_S = 0.6
 RESEND_MAX_S = 4.8
 NEVER = float("-inf")
@@ -29,14 +29,14 @@
 
 @attrs.frozen
 class InflightBatch:
-    """Entries that were sent in one message: the last index, and bytes."""
+    """Last index and size in bytes of the entries of one in-flight message."""
 
     last_index: int
     size: int
 
 
 class State(enum.Enum):
-    """How a follower is sent entries."""
+    """Replication state of a follower."""
 
     PROBE = "probe"
     REPLICATE = "replicate"
@@ -44,21 +44,24 @@
 
 @attrs.define
 class Progress:
-    """Where another replica stands.
+    """Replication progress of one replica; the admin dump shows its fields.
 
     Attributes:
-        since: When the leader began to send it anything.
-        next_index: The entry to be sent next.
-        match: Up to here its log is the same.
-        state: Whether the end of the common log is known.
-        acked_at: When the newest message that it answered was sent.
-        heard_at: When an answer of it arrived.
-        current_at: When it last held all that was committed a heartbeat before.
-        snapshot: The snapshot that it is sent, None if it needs none.
-        snapshot_offset: How much of it has arrived.
-        batches: What is under way.
-        advanced_at: When it last got further, or got the first of `batches`.
-        resend_s: When what is under way counts as lost.
+        since: When the leader started to replicate to it.
+        next_index: Index of the next entry to send.
+        match: Index of the last entry known to match the leader's log.
+        state: Whether the end of the matching log is known.
+        acked_at: When the newest message that it replied to was sent.
+        heard_at: When its last reply arrived.
+        current_at: When it last held all entries that were committed at the
+            previous heartbeat.
+        snapshot: The snapshot that is being sent, None for none.
+        snapshot_offset: Bytes of the snapshot that have arrived.
+        batches: Entries in flight.
+        advanced_at: When it last made progress, or when the first of `batches`
+            was sent.
+        resend_s: Seconds without progress after which in-flight data is
+            resent.
     """
 
     since: float
@@ -76,16 +79,16 @@
 
     @property
     def available_bytes(self) -> int:
-        """Return how many bytes of entries may be sent now."""
+        """Return how many bytes of entries the in-flight window allows now."""
         if self.state is State.PROBE:
             return 0
-        under_way = sum(batch.size for batch in self.batches)
-        return max(0, min(MESSAGE_BYTES, WINDOW_BYTES - under_way))
+        in_flight = sum(batch.size for batch in self.batches)
+        return max(0, min(MESSAGE_BYTES, WINDOW_BYTES - in_flight))
 
     def record_sent(
         self, entries: tuple[log_lib.Entry, ...], now: float
     ) -> None:
-        """Note entries that are sent."""
+        """Record entries that are sent."""
         if not entries:
             return
         if not self.batches:
@@ -95,7 +98,7 @@
         self.next_index = entries[-1].index + 1
 
     def record_match(self, match: int, now: float) -> None:
-        """Note up to where its log is the same."""
+        """Record the last matching index."""
         if match > self.match:
             self.mark_progress(now)
             self.match = match
@@ -108,38 +111,39 @@
         self.snapshot = None
 
     def record_commit(self, commit: int, now: float) -> None:
-        """Note whether it holds what is committed."""
+        """Record whether it holds all entries up to a commit index."""
         if self.match >= commit:
             self.current_at = now
 
     def record_rejection(self, prev_index: int, common_index: int) -> bool:
-        """Note an append that did not fit; return whether to probe at once.
+        """Record a rejected append; return whether to probe at once.
 
         Args:
-            prev_index: The entry that the append was to follow.
-            common_index: Last entry that both logs may have in common.
+            prev_index: Index of the entry before those of the append.
+            common_index: Last index at which both logs may match.
         """
         if self.state is State.REPLICATE:
-            # Messages were lost, or unsynced entries in a crash.
+            # Messages were lost, or the follower lost unsynced entries in a
+            # crash.
             if prev_index <= self.match:
                 return False
             self.probe_from_match()
             return True
         if prev_index != self.next_index - 1:
-            # Response to an earlier probe, or to a repetition of one.
+            # Reply to an earlier or repeated probe.
             return False
         earlier = self.next_index
         self.next_index = max(self.match, common_index) + 1
         return self.next_index < earlier
 
     def probe_from_match(self) -> None:
-        """Find out whether the follower still has what it acknowledged."""
+        """Probe whether the follower still holds the acknowledged entries."""
         self.state = State.PROBE
         self.batches.clear()
         self.next_index = self.match + 1
 
     def record_snapshot_received(self, offset: int, now: float) -> bool:
-        """Note how much of a snapshot arrived; return whether it is more."""
+        """Record the received bytes of a snapshot; return whether they grew."""
         if offset <= self.snapshot_offset:
             return False
         self.snapshot_offset = offset
@@ -147,12 +151,12 @@
         return True
 
     def mark_progress(self, now: float) -> None:
-        """Note that it got further."""
+        """Record progress and reset the resend timeout."""
         self.advanced_at = now
         self.resend_s = RESEND_MIN_S
 
     def prepare_snapshot(self, meta: log_lib.SnapshotMeta, now: float) -> bool:
-        """Return whether a piece of a snapshot is due: new, or sent again."""
+        """Return whether a chunk of a snapshot is to be sent or resent."""
         if self.snapshot is None or self.snapshot.index != meta.index:
             self.snapshot = meta
             self.snapshot_offset = 0
@@ -162,7 +166,7 @@
         return self.has_resend_timed_out(now)
 
     def has_resend_timed_out(self, now: float) -> bool:
-        """Return whether what is under way is to be sent again."""
+        """Return whether to resend in-flight data, and double the timeout."""
         if now < self.advanced_at + self.resend_s:
             return False
         self.advanced_at = now
@@ -170,6 +174,6 @@
         return True
 
     def resend_if_timed_out(self, now: float) -> None:
-        """Send again from where its log is the same, if that is due."""
+        """Probe again from the last match if in-flight entries timed out."""
         if self.batches and self.has_resend_timed_out(now):
             self.probe_from_match()
--- a/src/_coltsfootroad/control/quorum.py
+++ b/src/_coltsfootroad/control/quorum.py
@@ -1,4 +1,4 @@
-"""Fault tolerance of a replica set, and which of its voters are unavailable."""
+"""Fault tolerance of a replica set, and its unavailable voters."""
 
 import attrs
 
@@ -7,16 +7,16 @@
 
 @attrs.frozen(kw_only=True)
 class QuorumView:
-    """What one replica knows of the voters.
+    """Availability of the voters, as observed by one replica.
 
     Attributes:
-        failures_tolerated: Voters that may still fail with a quorum left;
-            negative without one, None on a follower, to which only its leader
-            sends.
+        failures_tolerated: Number of further voters that may fail without the
+            loss of the quorum; negative if it is lost, None on a follower,
+            which receives messages of its leader only.
         silent: Seconds since the last message of each unresponsive voter, by
-            identity; None where there was none.
-        lagging: Seconds for which each voter that responds has lacked
-            committed entries, by identity; only the leader knows.
+            identity; None if none has arrived.
+        lagging: Seconds for which each responsive voter has lacked committed
+            entries, by identity; known to the leader only.
     """
 
     failures_tolerated: int | None
@@ -25,7 +25,7 @@
 
     @property
     def is_lost(self) -> bool:
-        """Return whether too few voters are available for any decision."""
+        """Return whether fewer voters than a quorum are available."""
         return (
             self.failures_tolerated is not None and self.failures_tolerated < 0
         )
@@ -34,7 +34,10 @@
 def failures_tolerated(
     current: replicas.ReplicaSet, unavailable: set[str]
 ) -> int:
-    """Return how many more voters may fail with a quorum left."""
+    """Return how many more voters may fail without losing the quorum.
+
+    A joint set needs a majority of the old and of the new voters.
+    """
     spare = spare_votes(current.voters, unavailable)
     if not current.is_joint:
         return spare
@@ -44,6 +47,6 @@
 def spare_votes(
     voters: tuple[replicas.Replica, ...], unavailable: set[str]
 ) -> int:
-    """Return by how many the available voters exceed a majority."""
+    """Return the number of available voters beyond a majority."""
     available = sum(1 for v in voters if v.identity not in unavailable)
     return available - (len(voters) // 2 + 1)
--- a/src/_coltsfootroad/control/raft.py
+++ b/src/_coltsfootroad/control/raft.py
@@ -1,10 +1,10 @@
-"""Consensus core: Raft with pre-vote, stickiness, check-quorum, leases.
+"""Raft consensus core with pre-vote, check-quorum and leader leases.
 
-Does no I/O. The shell feeds messages and time, and carries out each
-`Ready` in order: store, sync, then send, then apply.
+Performs no I/O. The caller passes in messages and the current time, and
+carries out each `Ready` in order: store, sync, send, apply.
 
-Chosen over a fixed-leader primary/backup pair and over Paxos per register;
-see docs/design/consensus.md.
+Preferred over a primary/backup pair with a fixed leader and over one Paxos
+instance per register; see docs/design/consensus.md.
 """
 
 import enum
@@ -21,12 +21,12 @@
 from _coltsfootroad.control import snapshots
 from _coltsfootroad.core import errors
 
-# Entries by which a learner may lag and still be made a voter.
+# Number of entries that a learner may lack and still be promoted to a voter.
 MAX_PROMOTION_LAG = 64
 
 
 class Role(enum.Enum):
-    """What a replica is doing."""
+    """Raft role of a replica."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -36,7 +36,36 @@
 
 @attrs.define
 class Raft:
-    """One replica of the log."""
+    """Raft state machine of one replica.
+
+    Attributes:
+        identity: Identity of this replica, see `replicas.Replica`.
+        rng: Randomizes election timeouts.
+        log: Entries after the newest snapshot.
+        hard_state: Term and vote, which are stored before any message.
+        reader: Reads chunks of the stored snapshot.
+        started_at: When the process started.
+        role: Current role.
+        leader: Identity of the known leader of the term, empty for none.
+        commit: Index of the last committed entry.
+        applied: Index of the last entry that was passed on to be applied.
+        last_contact_at: Arrival of the last message of each other replica.
+        timer: Election timer.
+        heartbeat_at: When the leader sends heartbeats next.
+        heartbeat_commit: Commit index at the previous heartbeat.
+        leader_since: When this replica became leader.
+        quorum_check_since: Time from which missing replies count in the quorum
+            check; moved forward when this process was stalled.
+        elected_term: Last term whose election is over, with or without a
+            leader.
+        term_start_index: Index of the no-op entry of the leader's own term.
+        votes: Voters that granted a vote or pre-vote in this campaign.
+        refusals: Why other voters refused it, by identity.
+        idle: Voters that have had no leader since they started.
+        progress: Replication progress of each replica, on the leader.
+        incoming: Chunks of the snapshot that is being received.
+        ready: Work collected for the caller.
+    """
 
     identity: str
     rng: random.Random
@@ -48,20 +77,15 @@
     leader: str = ""
     commit: int = 0
     applied: int = 0
-    # When each other replica was last heard, in any role.
     last_contact_at: dict[str, float] = attrs.Factory(dict)
     timer: electiontimer.ElectionTimer = attrs.field(init=False)
     heartbeat_at: float = 0.0
-    # Commit index at the previous heartbeat.
     heartbeat_commit: int = 0
     leader_since: float = 0.0
-    # From when the silence of a quorum counts, after this process stood still.
     quorum_check_since: float = 0.0
-    # Last term whose election is over, with a leader or without.
     elected_term: int = 0
     term_start_index: int = 0
     votes: set[str] = attrs.Factory(set)
-    # Why others refused their votes in the last campaign, by identity.
     refusals: dict[str, peers.Refusal] = attrs.Factory(dict)
     idle: set[str] = attrs.Factory(set)
     progress: dict[str, progress_lib.Progress] = attrs.Factory(dict)
@@ -73,10 +97,11 @@
     def __attrs_post_init__(self):
         self.commit = self.applied = self.log.snapshot.index
         self.timer = electiontimer.ElectionTimer(self.rng, self.started_at)
-        # How the election of an earlier process's term ended is not known.
+        # A previous process may have voted in this term. The outcome of that
+        # election is unknown and must not count as a failed election.
         self.elected_term = self.term
 
-    # --- facts -----------------------------------------------------------
+    # --- state -----------------------------------------------------------
 
     @property
     def term(self) -> int:
@@ -85,26 +110,26 @@
 
     @property
     def replica_set(self) -> replicas.ReplicaSet:
-        """Return the set in force, which is the newest in the log."""
+        """Return the replica set in force: the newest one in the log."""
         return self.log.replica_set()
 
     @property
     def is_leader(self) -> bool:
-        """Return whether this replica leads."""
+        """Return whether this replica is the leader."""
         return self.role is Role.LEADER
 
     @property
     def is_idle(self) -> bool:
-        """Return whether it has neither heard a leader nor led since it began.
+        """Return whether it has neither had a leader nor led since its start.
 
-        When all voters are idle no lease can be in force: whoever held one
-        has started again, too. They need not wait until it would have ended.
-        After a loss of all power a leader stands that much sooner.
+        If all voters are idle, no lease can be in force, because its holder
+        has restarted as well. They skip the wait for the end of the lease,
+        which shortens the first election after a restart of all replicas.
         """
         return not self.is_leader and self.timer.has_no_leader_since_start
 
     def has_leader_contact(self, now: float) -> bool:
-        """Return whether it leads, or has heard its leader lately."""
+        """Return whether it leads or has had recent contact with its leader."""
         return self.is_leader or bool(
             self.leader and self.timer.has_recent_contact(now)
         )
@@ -114,22 +139,22 @@
         return [i for i in self.replica_set.by_identity() if i != self.identity]
 
     def has_lease(self, now: float) -> bool:
-        """Return whether no other leader can exist now.
+        """Return whether this leader holds a lease: no other leader can exist.
 
-        Reads of the applied state are linearizable while this holds and an
-        entry of the own term has been applied.
+        Reads of the applied state are linearizable while the lease is held and
+        an entry of the current term has been applied.
         """
         if not self.is_leader or self.applied < self.term_start_index:
             return False
-        acked = {i: p.acked_at for i, p in self.progress.items()}
-        acked[self.identity] = now
+        acked_at = {i: p.acked_at for i, p in self.progress.items()}
+        acked_at[self.identity] = now
         lease_s = electiontimer.LEADER_LEASE_S
-        return now < self.replica_set.quorum_value(acked) + lease_s
+        return now < self.replica_set.quorum_value(acked_at) + lease_s
 
     # --- input -----------------------------------------------------------
 
     def take_ready(self) -> ready_lib.Ready:
-        """Return the work for the shell and begin to collect anew."""
+        """Return the collected work for the caller and start a new `Ready`."""
         for index in range(self.applied + 1, self.commit + 1):
             self.ready.committed.append(self.log.entry(index))
         self.applied = self.commit
@@ -137,7 +162,7 @@
         return ready
 
     def tick(self, now: float) -> None:
-        """Run the timers."""
+        """Run the election timer, heartbeats and the quorum check."""
         self.timer.start(now)
         if self.is_leader:
             self.check_quorum(now)
@@ -148,13 +173,13 @@
             self.campaign(True, now)
 
     def next_wake(self) -> float:
-        """Return when `tick` is wanted next."""
+        """Return when `tick` is due next."""
         return self.heartbeat_at if self.is_leader else self.timer.election_at
 
     def propose(
         self, kind: log_lib.EntryKind, data: bytes, at: float, now: float
     ) -> int | None:
-        """Append a command if leading; return its index."""
+        """Append a command; return its index, None if not the leader."""
         if not self.is_leader:
             return None
         entry = log_lib.Entry(
@@ -168,20 +193,20 @@
         return entry.index
 
     def flush_appends(self, now: float) -> None:
-        """Send what was proposed since the last call, in one batch."""
+        """Send the entries proposed since the last call, in one batch."""
         if not self.is_leader:
             return
         for identity in self.peer_identities():
             progress = self.progress[identity]
-            # A replica that needs a snapshot is behind all the time; its
-            # pieces go out on its answers and on heartbeats.
+            # A replica that needs a snapshot always lacks entries. It is sent
+            # chunks in response to its replies and with heartbeats instead.
             first = self.log.snapshot.index + 1
-            lacks = first <= progress.next_index <= self.log.last_index
-            if lacks and progress.available_bytes:
+            lacks_entries = first <= progress.next_index <= self.log.last_index
+            if lacks_entries and progress.available_bytes:
                 self.send_append(identity, now)
 
     def on_synced(self, index: int, now: float) -> None:
-        """Count the own disk for what has been synced up to `index`."""
+        """Record that the leader's own disk has synced up to `index`."""
         if not self.is_leader:
             return
         own = self.progress[self.identity]
@@ -189,7 +214,7 @@
         self.advance_commit(now)
 
     def step(self, message: peers.PeerMessage, now: float) -> None:
-        """Take a message from another replica."""
+        """Handle a message from another replica."""
         self.last_contact_at[message.sender] = now
         if isinstance(message, peers.VoteRequest):
             self.on_vote_request(message, now)
@@ -213,13 +238,13 @@
     # --- elections -------------------------------------------------------
 
     def set_hard_state(self, state: ready_lib.HardState) -> None:
-        """Change term or vote; both must be synced before any message."""
+        """Change term or vote, which must be synced before any message."""
         if state != self.hard_state:
             self.hard_state = state
             self.ready.hard_state = state
 
     def become_follower(self, term: int, leader: str, now: float) -> None:
-        """Follow, in this term or a later one."""
+        """Become a follower in this term or a later one."""
         if term > self.term:
             self.set_hard_state(ready_lib.HardState(term=term))
         if self.role is not Role.FOLLOWER:
@@ -229,41 +254,41 @@
         self.progress = {}
 
     def transfer_leadership(self, now: float) -> None:
-        """Stop leading, and let the voter that has most be elected at once.
+        """Step down and transfer leadership to the most up-to-date voter.
 
-        Nobody waits until it is noticed that the leader is gone: 0.6 s to
-        1.2 s less without one. The lease ends before the message leaves, and
-        the receiver stands only in the next term, so a message that comes
-        late meets a term that has moved on and changes nothing.
+        The target campaigns at once, which saves the election timeout of 0.6 s
+        to 1.2 s. The lease ends before the message is sent. The target
+        campaigns only if it is still in the sender's term, so a delayed message
+        has no effect.
         """
         if not self.is_leader:
             return
-        heir = self.transfer_target(now)
-        if heir:
+        target = self.transfer_target(now)
+        if target:
             self.send(
-                heir, peers.TakeOver(term=self.term, sender=self.identity)
+                target, peers.TakeOver(term=self.term, sender=self.identity)
             )
         self.become_follower(self.term, "", now)
 
     def transfer_target(self, now: float) -> str:
-        """Return the other voter that has answered lately and has most."""
-        answering = {
+        """Return the responsive voter with the highest match, empty if none."""
+        matches = {
             identity: self.progress[identity].match
             for identity in self.replica_set.voter_identities()
             if identity != self.identity
             and now
             < self.progress[identity].acked_at + electiontimer.LEADER_LEASE_S
         }
-        return max(answering, key=answering.__getitem__, default="")
+        return max(matches, key=matches.__getitem__, default="")
 
     def record_failed_election(self, now: float) -> None:
-        """Note a term that got this replica's vote and had no leader."""
+        """Record that the term in which this replica voted had no leader."""
         if self.hard_state.vote and self.elected_term < self.term:
             self.elected_term = self.term
             self.timer.record_failure(now)
 
     def on_take_over(self, message: peers.TakeOver, now: float) -> None:
-        """Stand for election at once, as the leader asks."""
+        """Campaign at once: leadership transfer, TimeoutNow in Raft terms."""
         if message.term == self.term and message.sender == self.leader:
             self.campaign(False, now, handed_over=True)
 
@@ -274,7 +299,14 @@
         all_idle: bool = False,
         handed_over: bool = False,
     ) -> None:
-        """Ask for votes, first only whether they would be given."""
+        """Request pre-votes or votes from all other voters.
+
+        Args:
+            pre: Whether to request pre-votes, which change no term.
+            now: Current time.
+            all_idle: All voters have had no leader since they started.
+            handed_over: The previous leader has transferred its leadership.
+        """
         if self.is_idle:
             self.timer.reset_cold_start(pre, now)
         else:
@@ -311,7 +343,7 @@
         self.count_votes(now)
 
     def on_vote_request(self, message: peers.VoteRequest, now: float) -> None:
-        """Vote, or say whether a vote would be given."""
+        """Grant or refuse a vote or a pre-vote."""
         sticky = self.timer.is_sticky(now)
         if message.pre and sticky and self.is_idle:
             self.reply_vote(
@@ -337,21 +369,21 @@
         self.reply_vote(message, refusal, idle)
 
     def vote_refusal(self, message: peers.VoteRequest) -> peers.Refusal | None:
-        """Return why a candidate gets no vote, None if it gets one."""
-        least_term = self.term + 1 if message.pre else self.term
-        if message.term < least_term:
+        """Return why a vote is refused, None if it is granted."""
+        min_term = self.term + 1 if message.pre else self.term
+        if message.term < min_term:
             return peers.Refusal.TERM
         if not message.pre and self.hard_state.vote not in ("", message.sender):
             return peers.Refusal.VOTED
         return None if self.is_up_to_date(message) else peers.Refusal.LOG
 
     def is_up_to_date(self, message: peers.VoteRequest) -> bool:
-        """Return whether a candidate's log has all that the own one has."""
-        mark = (message.last_term, message.last_index)
-        return mark >= (self.log.last_term, self.log.last_index)
+        """Return whether a candidate's log is at least as up to date."""
+        log_end = (message.last_term, message.last_index)
+        return log_end >= (self.log.last_term, self.log.last_index)
 
     def is_leader_with_lease(self, now: float) -> bool:
-        """Return whether this leader is surely still followed."""
+        """Return whether this replica leads and holds a lease."""
         return self.has_lease(now)
 
     def reply_vote(
@@ -360,7 +392,7 @@
         refusal: peers.Refusal | None,
         idle: bool = False,
     ) -> None:
-        """Answer a vote request."""
+        """Reply to a vote request."""
         self.send(
             message.sender,
             peers.VoteReply(
@@ -375,10 +407,13 @@
         )
 
     def on_vote_reply(self, message: peers.VoteReply, now: float) -> None:
-        """Count a vote."""
-        wanted_role = Role.PRE_CANDIDATE if message.pre else Role.CANDIDATE
-        wanted_term = self.term + 1 if message.pre else self.term
-        if self.role is not wanted_role or message.asked_term != wanted_term:
+        """Record the reply to a vote request of the current campaign."""
+        expected_role = Role.PRE_CANDIDATE if message.pre else Role.CANDIDATE
+        expected_term = self.term + 1 if message.pre else self.term
+        if (
+            self.role is not expected_role
+            or message.asked_term != expected_term
+        ):
             return
         if message.idle:
             self.idle.add(message.sender)
@@ -389,7 +424,11 @@
         self.count_votes(now)
 
     def count_votes(self, now: float) -> None:
-        """Go on once a quorum has answered yes, or all that they are idle."""
+        """Advance the campaign on a quorum of votes.
+
+        A pre-candidate also advances once all voters have replied that they
+        are idle.
+        """
         if not self.replica_set.has_quorum(self.votes):
             voters = set(self.replica_set.voter_identities())
             pre_candidate = self.role is Role.PRE_CANDIDATE
@@ -402,7 +441,11 @@
             self.become_leader(now)
 
     def become_leader(self, now: float) -> None:
-        """Lead, and commit an entry of the own term first of all."""
+        """Become leader and append a no-op entry of the new term.
+
+        Entries of earlier terms commit only together with an entry of the
+        current term.
+        """
         self.role = Role.LEADER
         self.leader = self.identity
         self.leader_since = now
@@ -425,42 +468,42 @@
         self.broadcast_appends(now)
 
     def check_quorum(self, now: float) -> None:
-        """Step down when a quorum has not answered for long.
+        """Step down when a quorum has not replied for an election timeout.
 
-        Time in which this process did not run does not count: what was
-        answered meanwhile waits to be read.
+        Time in which this process was stalled does not count, because replies
+        of that time have not been read yet.
         """
-        heard = {i: p.heard_at for i, p in self.progress.items()}
-        heard[self.identity] = now
+        replied_at = {i: p.heard_at for i, p in self.progress.items()}
+        replied_at[self.identity] = now
         since = max(
-            self.replica_set.quorum_value(heard),
+            self.replica_set.quorum_value(replied_at),
             self.leader_since,
             self.quorum_check_since,
         )
-        late_s = now - self.heartbeat_at
-        if late_s > electiontimer.LATE_TICK_S:
-            since = self.quorum_check_since = since + late_s
-        bound_s = (
+        delay_s = now - self.heartbeat_at
+        if delay_s > electiontimer.LATE_TICK_S:
+            since = self.quorum_check_since = since + delay_s
+        timeout_s = (
             electiontimer.ELECTION_TIMEOUT_MAX_S * self.timer.timeout_scale(now)
         )
-        if now - since > bound_s:
+        if now - since > timeout_s:
             self.become_follower(self.term, "", now)
 
     # --- replication -----------------------------------------------------
 
     def send(self, to: str, message: peers.PeerMessage) -> None:
-        """Queue a message for after the sync."""
+        """Queue a message to be sent after the sync."""
         self.ready.messages.append(ready_lib.Outgoing(to=to, message=message))
 
     def append_as_leader(self, entry: log_lib.Entry, now: float) -> None:
-        """Append an entry as leader."""
+        """Append an entry to the leader's log."""
         self.log.append(entry)
         self.ready.entries.append(entry)
         if entry.kind is log_lib.EntryKind.REPLICAS:
             self.update_tracked_replicas(now)
 
     def update_tracked_replicas(self, now: float) -> None:
-        """Keep progress of exactly the replicas in force."""
+        """Track progress of exactly the replicas of the set in force."""
         by_identity = self.replica_set.by_identity()
         for identity in by_identity:
             if identity not in self.progress:
@@ -471,7 +514,7 @@
             del self.progress[identity]
 
     def broadcast_appends(self, now: float) -> None:
-        """Send a heartbeat, with entries where some are missing."""
+        """Send heartbeats to all replicas, with the entries that they lack."""
         self.heartbeat_at = now + electiontimer.HEARTBEAT_INTERVAL_S
         for identity in self.peer_identities():
             progress = self.progress[identity]
@@ -481,10 +524,10 @@
         self.heartbeat_commit = self.commit
 
     def send_append(self, identity: str, now: float) -> None:
-        """Send entries from where a replica is, or the snapshot.
+        """Send entries from `next_index` on, or a snapshot chunk.
 
-        Without room for entries it is a heartbeat, which also finds out
-        whether those that are under way have arrived.
+        If the in-flight window is full, the append is empty. It then serves as
+        a heartbeat, and its reply shows whether the in-flight entries arrived.
         """
         progress = self.progress[identity]
         prev = progress.next_index - 1
@@ -512,14 +555,15 @@
         )
 
     def on_append(self, message: peers.Append, now: float) -> None:
-        """Take entries from the leader."""
+        """Append entries of the leader and reply with the last match."""
         if message.term < self.term:
             self.reply_append(message, False, self.log.last_index)
             return
         self.on_leader_contact(message.sender, now)
         prev = message.prev_index
         if prev < self.log.snapshot.index:
-            # Every leader has the same entries up to the commit index.
+            # Committed entries are the same on every leader, so all entries
+            # up to the commit index match.
             self.reply_append(message, True, self.commit)
             return
         if self.log.term_at(prev) != message.prev_term:
@@ -532,28 +576,28 @@
         self.reply_append(message, True, match)
 
     def on_leader_contact(self, leader: str, now: float) -> None:
-        """Note that the leader of the current term is alive."""
+        """Record a message from the leader of the current term."""
         if self.role is not Role.FOLLOWER or self.leader != leader:
             self.become_follower(self.term, leader, now)
         self.elected_term = self.term
         self.timer.on_leader_message(now, self.term)
 
     def append_entries(self, entries: tuple[log_lib.Entry, ...]) -> None:
-        """Append what is new, dropping what contradicts it."""
+        """Append new entries and truncate conflicting ones."""
         for entry in entries:
-            known = self.log.term_at(entry.index)
-            if known == entry.term:
+            stored_term = self.log.term_at(entry.index)
+            if stored_term == entry.term:
                 continue
-            if known is not None:
+            if stored_term is not None:
                 self.truncate_log_from(entry.index)
             self.log.append(entry)
             self.ready.entries.append(entry)
 
     def truncate_log_from(self, index: int) -> None:
-        """Drop entries that a new leader does not have."""
+        """Truncate entries that conflict with those of the leader."""
         if index <= self.commit:
             raise errors.BrokenInvariantError(
-                f"committed entry {index} would be dropped"
+                f"committed entry {index} would be truncated"
             )
         self.log.truncate_from(index)
         self.ready.entries = [e for e in self.ready.entries if e.index < index]
@@ -563,7 +607,7 @@
     def reply_append(
         self, message: peers.Append, success: bool, match: int
     ) -> None:
-        """Answer an append."""
+        """Reply to an append."""
         self.send(
             message.sender,
             peers.AppendReply(
@@ -578,7 +622,7 @@
         )
 
     def on_append_reply(self, message: peers.AppendReply, now: float) -> None:
-        """Note how far a replica is and send more."""
+        """Record a follower's match or rejection and send what follows."""
         progress = self.progress.get(message.sender)
         if not self.is_leader or progress is None:
             return
@@ -600,34 +644,38 @@
         match: int,
         now: float,
     ) -> None:
-        """Note up to where a replica is the same, and send what follows."""
+        """Record the last matching index and send the entries after it."""
         progress.record_match(match, now)
         self.advance_commit(now)
-        # The response may have completed the sender's own removal.
+        # This reply may have committed the removal of its sender.
         is_tracked = self.progress.get(sender) is progress
-        lacks = progress.next_index <= self.log.last_index
-        if is_tracked and lacks and progress.available_bytes:
+        lacks_entries = progress.next_index <= self.log.last_index
+        if is_tracked and lacks_entries and progress.available_bytes:
             self.send_append(sender, now)
 
     def advance_commit(self, now: float) -> None:
-        """Commit what a quorum has synced, of the own term only."""
+        """Commit entries of the current term that a quorum has synced."""
         matches = {i: float(p.match) for i, p in self.progress.items()}
-        reached = self.replica_set.quorum_value(matches)
-        if reached <= self.commit or reached == float("-inf"):
+        quorum_match = self.replica_set.quorum_value(matches)
+        if quorum_match <= self.commit or quorum_match == float("-inf"):
             return
-        index = int(reached)
-        # An entry of an earlier term can be on a quorum and still be
-        # dropped by a later leader.
+        index = int(quorum_match)
+        # An entry of an earlier term can be stored on a quorum and still be
+        # overwritten by a later leader.
         if self.log.term_at(index) != self.term:
             return
         self.commit = index
         self.on_commit_advanced(now)
 
     def on_commit_advanced(self, now: float) -> None:
-        """Finish a change of replicas, or step down when not in it."""
+        """Finish a membership change once it is committed.
+
+        A joint set is followed by the final set. A leader that is no voter of
+        the final set steps down.
+        """
         current = self.replica_set
-        in_log = self.replica_set_index()
-        if in_log > self.commit:
+        set_index = self.replica_set_index()
+        if set_index > self.commit:
             return
         if current.is_joint:
             self.change_replicas(attrs.evolve(current, old_voters=()), now)
@@ -635,7 +683,7 @@
             self.become_follower(self.term, "", now)
 
     def replica_set_index(self) -> int:
-        """Return the index of the set in force."""
+        """Return the index of the entry that holds the set in force."""
         for entry in reversed(self.log.entries):
             if entry.kind is log_lib.EntryKind.REPLICAS:
                 return entry.index
@@ -646,10 +694,10 @@
     def send_snapshot(
         self, identity: str, progress: progress_lib.Progress, now: float
     ) -> None:
-        """Send the next piece of the newest snapshot, if one is due.
+        """Send the next chunk of the newest snapshot, if one is due.
 
-        Else an empty piece is the heartbeat, as the leader has no entries
-        that the replica could be asked about.
+        Otherwise an empty chunk serves as the heartbeat. An append cannot,
+        because the log no longer holds the entry before `next_index`.
         """
         due = progress.prepare_snapshot(self.log.snapshot, now)
         size = progress_lib.MESSAGE_BYTES if due else 0
@@ -662,7 +710,7 @@
         size: int,
         now: float,
     ) -> None:
-        """Send up to `size` bytes of a snapshot from where a replica is."""
+        """Send up to `size` bytes of a snapshot from the replica's offset."""
         meta = progress.snapshot
         data: bytes | None = b""
         if size:
@@ -684,7 +732,7 @@
     def on_snapshot_chunk(
         self, message: peers.SnapshotChunk, now: float
     ) -> None:
-        """Collect a snapshot and install it when it is whole."""
+        """Collect the chunks of a snapshot and install it when complete."""
         if message.term < self.term:
             return
         self.on_leader_contact(message.sender, now)
@@ -692,7 +740,7 @@
         if meta.index <= self.commit:
             self.reply_snapshot(message, meta.size, True)
             return
-        received = self.incoming.take(meta, message.offset, message.data)
+        received = self.incoming.add_chunk(meta, message.offset, message.data)
         if received < meta.size:
             self.reply_snapshot(message, received, False)
             return
@@ -700,7 +748,7 @@
         self.reply_snapshot(message, meta.size, True)
 
     def install_snapshot(self, meta: log_lib.SnapshotMeta, data: bytes) -> None:
-        """Replace log and state by a snapshot."""
+        """Replace the log by a snapshot and queue it for the state machine."""
         self.log.restore(meta)
         self.commit = self.applied = meta.index
         self.ready.entries = []
@@ -711,7 +759,7 @@
     def reply_snapshot(
         self, message: peers.SnapshotChunk, received: int, done: bool
     ) -> None:
-        """Say how much of a snapshot has arrived."""
+        """Reply with the number of bytes of a snapshot received so far."""
         self.send(
             message.sender,
             peers.SnapshotReply(
@@ -727,7 +775,7 @@
     def on_snapshot_reply(
         self, message: peers.SnapshotReply, now: float
     ) -> None:
-        """Send the next piece, or go on with entries."""
+        """Send the next chunk, or the entries after a complete snapshot."""
         progress = self.progress.get(message.sender)
         if not self.is_leader or progress is None:
             return
@@ -739,58 +787,64 @@
             if message.index > progress.match:
                 self.record_match(message.sender, progress, message.index, now)
             return
-        sending = progress.snapshot
-        if sending is None or message.index != sending.index:
+        snapshot = progress.snapshot
+        if snapshot is None or message.index != snapshot.index:
             return
         if progress.record_snapshot_received(message.received, now):
             size = progress_lib.MESSAGE_BYTES
             self.send_snapshot_chunk(message.sender, progress, size, now)
 
     def compact_log(self, meta: log_lib.SnapshotMeta) -> None:
-        """Drop what a stored snapshot covers."""
+        """Drop the entries that a stored snapshot covers."""
         self.log.compact(meta)
 
     # --- replica set -----------------------------------------------------
 
-    def change_replicas(self, wanted: replicas.ReplicaSet, now: float) -> bool:
-        """Append a new replica set; False when another change runs.
+    def change_replicas(
+        self, target_set: replicas.ReplicaSet, now: float
+    ) -> bool:
+        """Append a new replica set; return False if refused.
 
-        A change of voters goes through a joint set that needs a majority of
-        both, so that a repair swaps a dead replica for a caught-up learner
-        in one step and never passes through a smaller set.
+        Refused while another change is in progress, or if a new voter has not
+        caught up. A change of voters uses joint consensus, which needs a
+        majority of the old and the new voters. A failed replica is thus
+        replaced by a caught-up learner in one step, without a smaller voter
+        set in between.
         """
         if not self.is_leader or self.commit < self.term_start_index:
             return False
         current = self.replica_set
         if self.replica_set_index() > self.commit:
             return False
-        if not current.is_joint and wanted.voters != current.voters:
-            if not self.new_voters_have_caught_up(wanted):
+        if not current.is_joint and target_set.voters != current.voters:
+            if not self.new_voters_have_caught_up(target_set):
                 return False
-            wanted = attrs.evolve(wanted, old_voters=current.voters)
+            target_set = attrs.evolve(target_set, old_voters=current.voters)
         self.append_as_leader(
             log_lib.Entry(
                 term=self.term,
                 index=self.log.last_index + 1,
                 kind=log_lib.EntryKind.REPLICAS,
-                replica_set=wanted,
+                replica_set=target_set,
             ),
             now,
         )
         self.flush_appends(now)
         return True
 
-    def new_voters_have_caught_up(self, wanted: replicas.ReplicaSet) -> bool:
-        """Return whether every new voter has caught up as a learner."""
-        known = self.replica_set.voter_identities()
+    def new_voters_have_caught_up(
+        self, target_set: replicas.ReplicaSet
+    ) -> bool:
+        """Return whether each added voter has caught up as a learner."""
+        current_voters = self.replica_set.voter_identities()
         return all(
             self.has_caught_up(replica.identity)
-            for replica in wanted.voters
-            if replica.identity not in known
+            for replica in target_set.voters
+            if replica.identity not in current_voters
         )
 
     def has_caught_up(self, identity: str) -> bool:
-        """Return whether a replica has most entries, and so may vote."""
+        """Return whether a replica lacks few enough entries to be promoted."""
         progress = self.progress.get(identity)
         if progress is None or not progress.match:
             return False
--- a/src/_coltsfootroad/control/reads.py
+++ b/src/_coltsfootroad/control/reads.py
@@ -1,4 +1,4 @@
-"""What a leader answers from memory while its lease holds."""
+"""Calls that a leader answers from memory while it holds a lease."""
 
 from collections.abc import Callable
 import json
@@ -18,25 +18,25 @@
 
 
 def answer(node, message: object, now: float) -> object:
-    """Return the leader's answer to a call that changes nothing durable."""
-    found = ANSWERS.get(type(message))
-    if found is None:
+    """Return the leader's reply to a call that changes no durable state."""
+    handler = ANSWERS.get(type(message))
+    if handler is None:
         return outcomes.Refused(
             failure=errors.Failure(
                 errors.ErrorCode.BAD_REQUEST,
                 f"{type(message).__name__} is no call",
             )
         )
-    return found(node, message, now)
+    return handler(node, message, now)
 
 
 def on_sync(node, message: messages.SyncRequest, now: float) -> object:
-    """Answer an entry's heartbeat."""
+    """Handle the heartbeat of an entry."""
     return node.hub.on_sync(message, now)
 
 
 def on_watch(node, message: watching.Watch, now: float) -> object:
-    """Answer a gateway's watch, or send it to the relays of its zone."""
+    """Handle a gateway's watch, or refer it to the relays of its zone."""
     near = mirror.near_relays(node.hub.book, message, node.mirror.relay)
     if near:
         return watching.AskElsewhere(relays=near)
@@ -45,13 +45,13 @@
 
 
 def on_relay_watch(node, message: watching.RelayWatch, now: float) -> object:
-    """Answer a relay's watch."""
+    """Handle the watch of a relay."""
     news = node.hub.on_relay_watch(message, now)
     return attrs.evolve(news, replicas=node.replica_addresses())
 
 
 def on_announce(node, message: messages.Announce, now: float) -> object:
-    """Take an endpoint's announcement."""
+    """Register the announcement of an endpoint."""
     node.hub.take_announcement(
         message.announcement, hub_lib.ANNOUNCEMENT_LEASE_S, now
     )
@@ -59,7 +59,7 @@
 
 
 def read_routes(node, _: messages.ReadRoutes, __: float) -> object:
-    """Return the document of the version in force."""
+    """Return the route configuration in force, as its source document."""
     routes = node.state.routes
     return messages.RoutesCopy(version=routes.version, source=routes.source)
 
@@ -85,19 +85,19 @@
 
 
 def read_status(node, _: messages.ReadStatus, now: float) -> object:
-    """Return what operators ask for."""
+    """Return the status of the control plane as JSON."""
     return messages.Status(document=json.dumps(status(node, now)).encode())
 
 
 def take_snapshot(node, _: messages.TakeSnapshot, __: float) -> object:
-    """Return a copy of the whole state."""
+    """Return a snapshot of the whole state."""
     return messages.SnapshotCopy(
         index=node.raft.applied, data=state_lib.save(node.state)
     )
 
 
 def read_quarantine(node, _: crashreports.ReadQuarantine, __: float) -> object:
-    """Return what is refused."""
+    """Return the requests in quarantine."""
     entries = node.state.quarantine.entries.values()
     return crashreports.QuarantineCopy(entries=tuple(entries))
 
@@ -119,7 +119,7 @@
 
 
 def status(node, now: float) -> dict:
-    """Return the fleet as the leader sees it, as plain JSON values."""
+    """Return the leader's view of the fleet as JSON values."""
     raft, hub = node.raft, node.hub
     return {
         "leader": node.replica.identity,
@@ -144,32 +144,32 @@
 
 
 def replica_status(raft, identity: str, now: float) -> dict:
-    """Return where one replica stands and why it is behind."""
+    """Return the replication status of a replica and why it lags."""
     replica = raft.replica_set.by_identity()[identity]
     progress = raft.progress[identity]
-    own = identity == raft.identity
-    silent_s = 0.0 if own else now - progress.acked_at
-    voter = identity in raft.replica_set.voter_identities()
+    is_self = identity == raft.identity
+    reply_age_s = 0.0 if is_self else now - progress.acked_at
+    is_voter = identity in raft.replica_set.voter_identities()
     lag = raft.log.last_index - progress.match
-    reason = "current"
-    if silent_s > electiontimer.ELECTION_TIMEOUT_MAX_S:
-        reason = "silent"
+    state = "current"
+    if reply_age_s > electiontimer.ELECTION_TIMEOUT_MAX_S:
+        state = "silent"
     elif progress.snapshot is not None:
-        reason = "receiving a snapshot"
+        state = "receiving a snapshot"
     elif lag:
-        reason = "catching up"
+        state = "catching up"
     return {
         "identity": identity,
         "address": replica.address,
-        "voter": voter,
+        "voter": is_voter,
         "behind": lag,
-        "state": reason,
-        "silent_s": round(silent_s, 1) if silent_s < 1e9 else None,
+        "state": state,
+        "silent_s": round(reply_age_s, 1) if reply_age_s < 1e9 else None,
     }
 
 
 def endpoint_status(announcement: registry.Announcement) -> dict:
-    """Return an endpoint for operators."""
+    """Return the status of an endpoint."""
     return {
         "endpoint": announcement.endpoint,
         "service": announcement.service,
--- a/src/_coltsfootroad/control/ready.py
+++ b/src/_coltsfootroad/control/ready.py
@@ -1,4 +1,4 @@
-"""What the consensus core asks of the shell, and of a disk."""
+"""Work that the consensus core hands to its caller, and its snapshot reader."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class HardState:
-    """What must be on disk before a vote or acknowledgement is sent."""
+    """Term and vote, stored before any vote or acknowledgement is sent."""
 
     term: int = 0
     vote: str = ""
@@ -25,15 +25,15 @@
 
 @attrs.define
 class Ready:
-    """What the shell has to do, in this order.
+    """Work for the caller, to be carried out in the order of the attributes.
 
     Attributes:
-        snapshot: Snapshot received in full, to be stored and loaded.
+        snapshot: Complete received snapshot to store and load, None for none.
         snapshot_data: Its bytes.
-        truncate_from: Drop stored entries from here on first, 0 for none.
+        truncate_from: Index from which stored entries are removed, 0 for none.
         entries: Entries to store.
-        hard_state: To store, None if unchanged.
-        messages: To send once all of the above is synced.
+        hard_state: Term and vote to store, None if unchanged.
+        messages: Messages to send once all of the above is synced.
         committed: Entries to apply.
     """
 
@@ -46,7 +46,7 @@
     committed: list[log_lib.Entry] = attrs.Factory(list)
 
     def must_sync(self) -> bool:
-        """Return whether anything has to reach the disk."""
+        """Return whether there is anything to store and sync."""
         return bool(
             self.snapshot
             or self.truncate_from
@@ -60,8 +60,8 @@
 
 
 class SnapshotReader:
-    """Reads pieces of the newest stored snapshot."""
+    """Reads chunks of the newest stored snapshot."""
 
     def read(self, index: int, offset: int, size: int) -> bytes | None:
-        """Return bytes of the snapshot at `index`, None if it is gone."""
-        raise errors.BrokenInvariantError("no snapshots are kept")
+        """Return bytes of the snapshot at `index`, None if it was replaced."""
+        raise errors.BrokenInvariantError("this replica stores no snapshots")
--- a/src/_coltsfootroad/control/replicas.py
+++ b/src/_coltsfootroad/control/replicas.py
@@ -1,14 +1,14 @@
-"""The set of replicas and what counts as a quorum of it."""
+"""Replica sets and their quorums."""
 
 import attrs
 
 
 @attrs.frozen(kw_only=True)
 class Replica:
-    """One replica; its identity names its disk.
+    """One replica, identified by its name and its disk.
 
-    A replica that comes back with an empty disk has a new `disk` and so is
-    a stranger: as its old self it could vote twice in one term.
+    A replica that restarts with an empty disk has a new `disk` and therefore a
+    new identity. Under its old identity it could vote twice in one term.
     """
 
     name: str
@@ -17,13 +17,16 @@
 
     @property
     def identity(self) -> str:
-        """Return the identity that votes and acknowledges."""
+        """Return the identity under which it votes and acknowledges."""
         return f"{self.name}#{self.disk}"
 
 
 @attrs.frozen(kw_only=True)
 class ReplicaSet:
-    """Voters, learners, and during a change also the voters before it."""
+    """Voters and learners.
+
+    `old_voters` are the previous voters during joint consensus, else empty.
+    """
 
     voters: tuple[Replica, ...] = ()
     old_voters: tuple[Replica, ...] = ()
@@ -31,7 +34,7 @@
 
     @property
     def is_joint(self) -> bool:
-        """Return whether a change of voters is under way."""
+        """Return whether this is a joint set of old and new voters."""
         return bool(self.old_voters)
 
     def by_identity(self) -> dict[str, Replica]:
@@ -40,7 +43,7 @@
         return {replica.identity: replica for replica in members}
 
     def voter_identities(self) -> set[str]:
-        """Return the identities that may vote now."""
+        """Return the identities of new and old voters."""
         return {r.identity for r in self.voters + self.old_voters}
 
     def has_quorum(self, identities: set[str]) -> bool:
@@ -50,7 +53,10 @@
         return not self.old_voters or is_majority(self.old_voters, identities)
 
     def quorum_value(self, values: dict[str, float]) -> float:
-        """Return the largest value that a quorum has reached."""
+        """Return the largest value that a quorum has reached.
+
+        Values are log indexes or times, by identity.
+        """
         reached = majority_value(self.voters, values)
         if not self.old_voters:
             return reached
@@ -58,7 +64,7 @@
 
 
 def is_majority(voters: tuple[Replica, ...], identities: set[str]) -> bool:
-    """Return whether more than half of the voters are among identities."""
+    """Return whether the identities include more than half of the voters."""
     count = sum(1 for r in voters if r.identity in identities)
     return count > len(voters) // 2
 
@@ -67,7 +73,7 @@
     voters: tuple[Replica, ...], values: dict[str, float]
 ) -> float:
     """Return the largest value that more than half of the voters reached."""
-    found = sorted(
+    descending = sorted(
         (values.get(r.identity, float("-inf")) for r in voters), reverse=True
     )
-    return found[len(found) // 2] if found else float("-inf")
+    return descending[len(descending) // 2] if descending else float("-inf")
--- a/src/_coltsfootroad/control/routestore.py
+++ b/src/_coltsfootroad/control/routestore.py
@@ -1,4 +1,4 @@
-"""The version of the routes in force; the highest version wins."""
+"""Stores the route configuration in force: the highest version."""
 
 import attrs
 
@@ -6,19 +6,21 @@
 from _coltsfootroad.core import routedelta
 from _coltsfootroad.core import routes as routes_lib
 
-# Versions to which changes can be told: in a storm of them a gateway that does
-# not ask for two seconds is some dozens behind.
+# Earlier versions from which deltas can be computed. In a burst of changes, a
+# gateway that does not poll for two seconds falls dozens of versions behind.
 MAX_RECENT = 32
 
 
 @attrs.define
 class RouteStore:
-    """Keeps one complete version and the document it was read from.
+    """Holds the version in force and the document that it was parsed from.
 
     Attributes:
+        config: The version in force, None before the first one.
+        source: The document that it was parsed from.
         recent: Earlier versions since the process started, newest last.
-        deltas: Changes up to the version in force, by the version they
-            begin at; None for those that have to be sent whole.
+        deltas: Cached deltas to the version in force by base version; None if
+            the complete version has to be sent.
     """
 
     config: routes_lib.RouteConfig | None = None
@@ -36,17 +38,18 @@
         )
 
     def put(self, command: messages.PutRoutes) -> messages.RoutesCopy:
-        """Take a higher version; acknowledge any other without a change.
+        """Store a higher version; acknowledge any other without a change.
 
-        An operator resends what got no clear answer, also after a later
-        version; whatever came under a number first keeps that number.
+        An operator resends a version whose outcome is unknown, possibly after a
+        later version is in force. The first configuration that was stored under
+        a version number keeps it.
         """
         if self.adopt(command.config):
             self.source = command.source
         return messages.RoutesCopy(version=self.version)
 
     def adopt(self, config: routes_lib.RouteConfig) -> bool:
-        """Put a higher version in force; never a lower one."""
+        """Put a version in force if it is higher; return whether it was."""
         if config.version <= self.version:
             return False
         self.retain_current()
@@ -54,7 +57,7 @@
         return True
 
     def retain_current(self) -> None:
-        """Keep the version in force, which is about to be replaced."""
+        """Keep the version in force as a base for deltas."""
         self.deltas.clear()
         if self.config is not None:
             self.recent[self.version] = self.config
@@ -64,15 +67,15 @@
     def news(
         self, version: int
     ) -> tuple[routes_lib.RouteConfig | None, routedelta.RouteDelta | None]:
-        """Return what a gateway with some version lacks, whole or as changes.
+        """Return the update for a gateway: a complete version or a delta.
 
-        Nothing, where it has the version in force or a later one.
+        Both are None if its version is the one in force or a later one.
         """
         if self.version <= version:
             return None, None
         if version not in self.deltas:
-            known = self.recent.get(version)
-            found = routedelta.between(known, self.config) if known else None
-            self.deltas[version] = found
+            base = self.recent.get(version)
+            computed = routedelta.between(base, self.config) if base else None
+            self.deltas[version] = computed
         delta = self.deltas[version]
         return (None, delta) if delta is not None else (self.config, None)
--- a/src/_coltsfootroad/control/snapshots.py
+++ b/src/_coltsfootroad/control/snapshots.py
@@ -1,4 +1,4 @@
-"""A snapshot that arrives in pieces."""
+"""Receives a snapshot in chunks."""
 
 import attrs
 
@@ -7,13 +7,15 @@
 
 @attrs.define
 class IncomingSnapshot:
-    """The pieces of one snapshot so far; another one starts anew."""
+    """The received chunks of one snapshot, dropped when another one begins."""
 
     meta: log_lib.SnapshotMeta | None = None
     data: bytearray = attrs.Factory(bytearray)
 
-    def take(self, meta: log_lib.SnapshotMeta, offset: int, data: bytes) -> int:
-        """Take a piece if it is the next one; return the bytes so far."""
+    def add_chunk(
+        self, meta: log_lib.SnapshotMeta, offset: int, data: bytes
+    ) -> int:
+        """Append the chunk if it is the next one; return the received bytes."""
         if self.meta != meta:
             self.meta = meta
             self.data = bytearray()
@@ -22,7 +24,7 @@
         return len(self.data)
 
     def finish(self) -> bytes:
-        """Return the whole snapshot and forget it."""
+        """Return the complete snapshot and reset the receiver."""
         data = bytes(self.data)
         self.meta = None
         self.data = bytearray()
--- a/src/_coltsfootroad/control/state.py
+++ b/src/_coltsfootroad/control/state.py
@@ -1,4 +1,4 @@
-"""The durable state machine: the same commands give the same state."""
+"""Replicated state machine: the same commands result in the same state."""
 
 import json
 
@@ -32,10 +32,10 @@
 
 @attrs.define
 class ControlState:
-    """Configuration, routes, claims, fenced leases and refused requests.
+    """Configuration, routes, claims, leases with fencing tokens and quarantine.
 
-    `now` is part of each command's log entry, in unix seconds of the leader
-    that accepted it, and never goes back.
+    `now` is the time of the newest applied log entry, in unix seconds of the
+    leader that appended it, and never decreases.
     """
 
     now: float = 0.0
@@ -48,7 +48,7 @@
     )
 
     def apply(self, command: object, now: float) -> object:
-        """Apply one command and return its answer."""
+        """Apply a command and return its reply."""
         self.now = max(self.now, now)
         match command:
             case messages.PatchConfig():
@@ -79,7 +79,7 @@
         raise errors.BrokenInvariantError(f"no such command: {command!r}")
 
     def add_to_quarantine(self, command: crashreports.Quarantine) -> object:
-        """Refuse a request from now on."""
+        """Quarantine a request, so that it is refused from now on."""
         self.quarantine.add(
             command.fingerprint,
             command.reason,
@@ -90,7 +90,7 @@
         return outcomes.Done()
 
     def end_quarantine(self, command: crashreports.EndQuarantine) -> object:
-        """Run a request again; one that is not refused is an error."""
+        """Release a request from quarantine; refuse if it is not in it."""
         if self.quarantine.end(command.fingerprint):
             return outcomes.Done()
         return outcomes.Refused(
@@ -104,7 +104,7 @@
 
 @attrs.frozen(kw_only=True)
 class SavedClaim:
-    """A claim as a snapshot holds it."""
+    """A claim in a snapshot."""
 
     workspace: str
     key: str
@@ -113,7 +113,7 @@
 
 @attrs.frozen(kw_only=True)
 class SavedPatch:
-    """The answer to a patch as a snapshot holds it."""
+    """The reply to a patch in a snapshot."""
 
     patch_id: str
     record: configstore.PatchRecord
@@ -121,7 +121,7 @@
 
 @attrs.frozen(kw_only=True)
 class SavedState:
-    """All of the state, as a snapshot holds it."""
+    """The whole state in a snapshot."""
 
     format: int
     now: float
@@ -137,13 +137,13 @@
     quarantine: tuple[quarantine_lib.Entry, ...] = ()
 
 
-# Format 1 had no routes; its snapshots are still read.
+# Snapshots of format 1 have no routes and can still be read.
 FORMAT = 2
 READABLE_FORMATS = (1, 2)
 
 
 def save(state: ControlState) -> bytes:
-    """Return the bytes of a snapshot."""
+    """Return the encoded snapshot of a state."""
     saved = SavedState(
         format=FORMAT,
         now=state.now,
@@ -168,7 +168,7 @@
 
 
 def load(data: bytes) -> ControlState:
-    """Return the state that a snapshot holds."""
+    """Return the state decoded from a snapshot."""
     saved = msgspec.msgpack.decode(data, type=SavedState)
     if saved.format not in READABLE_FORMATS:
         raise errors.BrokenInvariantError(
@@ -188,7 +188,7 @@
 
 
 def restore_configs(store: configstore.ConfigStore, saved: SavedState) -> None:
-    """Fill a configuration store from a snapshot."""
+    """Restore a configuration store from a snapshot."""
     store.version = saved.version
     store.document = configstore.read_json(saved.document)
     store.config = configstore.parse_document(store.document).ok
@@ -198,7 +198,7 @@
 
 
 def restore_claims(table: claims_lib.ClaimTable, saved: SavedState) -> None:
-    """Fill a claim table from a snapshot."""
+    """Restore a claim table from a snapshot."""
     for item in sorted(saved.claims, key=lambda c: c.claim.forget_at):
         key = (item.workspace, item.key)
         table.claims[key] = item.claim
--- a/src/_coltsfootroad/control/storage.py
+++ b/src/_coltsfootroad/control/storage.py
@@ -1,4 +1,4 @@
-"""What a replica needs of a disk, and a disk in memory for tests."""
+"""Storage interface of a replica, and an in-memory implementation."""
 
 import abc
 
@@ -13,7 +13,7 @@
 
 @attrs.define
 class Loaded:
-    """What a replica finds on its disk when it starts."""
+    """Stored state that a replica loads at its start."""
 
     hard_state: ready_lib.HardState = ready_lib.HardState()
     log: log_lib.Log = attrs.Factory(log_lib.Log)
@@ -22,7 +22,14 @@
 
 @attrs.frozen(kw_only=True)
 class Batch:
-    """What is written and synced at once."""
+    """Changes that are written and synced together.
+
+    Attributes:
+        truncate_from: Index from which stored entries are removed first, 0 for
+            none.
+        entries: Entries to append.
+        hard_state: New term and vote, None if unchanged.
+    """
 
     truncate_from: int = 0
     entries: tuple[log_lib.Entry, ...] = ()
@@ -30,7 +37,7 @@
 
 
 def replay(loaded: Loaded, batch: Batch) -> None:
-    """Apply a stored batch to what was loaded before it."""
+    """Apply a stored batch to the state loaded from earlier batches."""
     if batch.truncate_from:
         loaded.log.truncate_from(batch.truncate_from)
     for entry in batch.entries:
@@ -41,15 +48,15 @@
 
 
 class Storage(ready_lib.SnapshotReader, abc.ABC):
-    """A disk that keeps what is synced."""
+    """Durable storage of the log, the hard state and the snapshot."""
 
     @abc.abstractmethod
     def load(self) -> Loaded:
-        """Return what was stored."""
+        """Return the stored state."""
 
     @abc.abstractmethod
     def store(self, batch: Batch) -> Result[None, errors.Failure]:
-        """Write and sync a batch; an error means that nothing was kept."""
+        """Write and sync a batch; on an error nothing of it is stored."""
 
     @abc.abstractmethod
     def save_snapshot(
@@ -59,11 +66,14 @@
         hard_state: ready_lib.HardState,
         entries: tuple[log_lib.Entry, ...],
     ) -> Result[None, errors.Failure]:
-        """Replace snapshot and log at once; `entries` follow the snapshot."""
+        """Atomically replace snapshot, hard state and log.
+
+        `entries` are the entries after the snapshot.
+        """
 
 
 class MemoryStorage(Storage):
-    """A disk in memory that can lose what was not synced."""
+    """Storage in memory, for tests; a crash can lose unsynced batches."""
 
     def __init__(self):
         self.meta = log_lib.SnapshotMeta()
@@ -71,7 +81,7 @@
         self.batches: list[Batch] = []
 
     def load(self):
-        """Return what was stored."""
+        """Return the stored state."""
         loaded = Loaded(snapshot=self.snapshot)
         loaded.log.snapshot = self.meta
         for batch in self.batches:
@@ -79,19 +89,19 @@
         return loaded
 
     def store(self, batch):
-        """Keep a batch."""
+        """Store a batch."""
         self.batches.append(batch)
         return Ok(None)
 
     def save_snapshot(self, meta, data, hard_state, entries):
-        """Replace everything by a snapshot and what follows it."""
+        """Replace all stored state by a snapshot and the entries after it."""
         self.meta = meta
         self.snapshot = data
         self.batches = [Batch(entries=entries, hard_state=hard_state)]
         return Ok(None)
 
     def read(self, index, offset, size):
-        """Return a piece of the snapshot."""
+        """Return a chunk of the snapshot, None if it was replaced."""
         if index != self.meta.index:
             return None
         return self.snapshot[offset : offset + size]
--- a/src/_coltsfootroad/control/votermonitor.py
+++ b/src/_coltsfootroad/control/votermonitor.py
@@ -1,4 +1,4 @@
-"""Which voters are available, by what one replica has heard of them."""
+"""Availability of voters, as observed by one replica."""
 
 import attrs
 
@@ -7,22 +7,28 @@
 from _coltsfootroad.control import quorum
 from _coltsfootroad.control import raft as raft_lib
 
-# A leader that was called this late has stood still; heartbeats, on which the
-# answers of others depend, are due five times as often.
+# A leader whose tick is this late was stalled. Heartbeats, which other replicas
+# reply to, are due five times as often.
 STALL_THRESHOLD_S = 0.5
-# A replica that wants votes has asked everybody at least once in this time.
+# Without a leader, each running voter sends vote requests to all others at
+# least once in this time.
 UNRESPONSIVE_WITHOUT_LEADER_S = 2 * electiontimer.ELECTION_TIMEOUT_MAX_S
-# A voter that has lacked committed entries for this long counts as unavailable:
-# with it alone the leader commits nothing.
+# A voter that has lacked committed entries for this long counts as unavailable,
+# because it does not help the leader to commit.
 LAGGING_AFTER_S = 1.0
 
 
 @attrs.define
 class VoterMonitor:
-    """Tells voters that are silent from those that were not listened to.
+    """Determines which voters are unresponsive or lagging.
+
+    Time in which this replica was stalled and read no messages does not count
+    against other replicas.
 
     Attributes:
-        raft: The replica that hears, or does not.
+        raft: Raft state of the observing replica.
+        ticked_at: When `tick` ran last.
+        since: Start of the observation: the process start or the last stall.
     """
 
     raft: raft_lib.Raft
@@ -30,19 +36,19 @@
     since: float = float("-inf")
 
     def tick(self, now: float) -> None:
-        """Note that this replica runs.
+        """Record that this replica is running; detect that it was stalled.
 
-        One that stood still, or has just started, has not taken the answers
-        of others: that says nothing of them.
+        After a stall or a start it has not yet read the replies of other
+        replicas, so their age says nothing about them.
         """
         if now > self.ticked_at + STALL_THRESHOLD_S:
             self.since = now
         self.ticked_at = now
 
     def reply_ages(self, now: float) -> dict[str, float]:
-        """Return for how many seconds others have not answered this leader.
+        """Return the seconds since each replica last replied to this leader.
 
-        A replica that joined lately counts from when it was first sent to.
+        For a replica that was added later, counts from its first message.
         """
         return {
             identity: now - max(progress.acked_at, progress.since, self.since)
@@ -51,7 +57,7 @@
         }
 
     def contact_ages(self, now: float) -> dict[str, float]:
-        """Return how long ago others were heard; inf where never."""
+        """Return the seconds since the last message of each, inf for none."""
         raft = self.raft
         never = float("-inf")
         return {
@@ -60,10 +66,10 @@
         }
 
     def is_uncertain(self, now: float) -> bool:
-        """Return whether this replica cannot judge who is available.
+        """Return whether this replica cannot tell which voters are available.
 
-        Only the leader sends to a follower, and one that has just started has
-        not had the time to hear others.
+        A follower receives messages of the leader only, and a replica that has
+        just started has had no time to receive messages.
         """
         raft = self.raft
         if not raft.replica_set.voters:
@@ -74,24 +80,24 @@
         return is_new or raft.has_leader_contact(now)
 
     def view(self, now: float) -> quorum.QuorumView:
-        """Return which voters are unavailable, and how many more may fail."""
+        """Return the unavailable voters and the remaining fault tolerance."""
         raft = self.raft
         if self.is_uncertain(now):
             return quorum.QuorumView(failures_tolerated=None)
-        reply_ages, bound_s = (
+        reply_ages, threshold_s = (
             self.contact_ages(now),
             UNRESPONSIVE_WITHOUT_LEADER_S,
         )
         if raft.is_leader:
-            reply_ages, bound_s = (
+            reply_ages, threshold_s = (
                 self.reply_ages(now),
                 membership_lib.UNRESPONSIVE_AFTER_S,
             )
         voters = raft.replica_set.voter_identities()
         silent = {
-            identity: round(silence_s, 2) if silence_s < 1e9 else None
-            for identity, silence_s in reply_ages.items()
-            if identity in voters and silence_s >= bound_s
+            identity: round(age_s, 2) if age_s < 1e9 else None
+            for identity, age_s in reply_ages.items()
+            if identity in voters and age_s >= threshold_s
         }
         lagging = {
             identity: round(lag_s, 2)
@@ -109,7 +115,7 @@
         )
 
     def commit_lags(self, now: float) -> dict[str, float]:
-        """Return for how long others lack entries that are committed."""
+        """Return the seconds for which each replica lacks committed entries."""
         if not self.raft.is_leader:
             return {}
         return {
@@ -119,11 +125,11 @@
         }
 
     def should_join(self, now: float) -> bool:
-        """Return whether this replica is no voter, or may be none any more."""
+        """Return whether this replica is no voter or may have been removed."""
         raft = self.raft
         if raft.identity not in raft.replica_set.voter_identities():
             return True
-        unheard_s = now - raft.timer.leader_contact_at
+        contact_age_s = now - raft.timer.leader_contact_at
         return not raft.is_leader and (
-            unheard_s >= membership_lib.REJOIN_AFTER_S
+            contact_age_s >= membership_lib.REJOIN_AFTER_S
         )
