--- a/features/control/commandlog.feature
+++ b/features/control/commandlog.feature
@@ -1,15 +1,15 @@
-Feature: Commands in the replicated log
+Feature: Encoding of commands in the replicated log
 
-  Scenario Outline: A <what> comes back as it was
-    Then a <what> of <routes> routes comes back, in at most <bytes> bytes
+  Scenario Outline: A <what> of <routes> routes is encoded and decoded unchanged
+    Then a <what> of <routes> routes is decoded unchanged from at most <bytes> bytes
 
     Examples:
       | what    | routes | bytes  |
       | version | 3      | 4095   |
       | version | 300    | 40000  |
 
-  Scenario Outline: <bytes> are refused and break nothing
-    Then the log's bytes <bytes> are no command
+  Scenario Outline: The bytes <bytes> are refused without an exception
+    Then decoding the log entry <bytes> returns an error
 
     Examples:
       | bytes            |
@@ -17,5 +17,5 @@
       | x                |
       | \x92\xa3abc\xc0  |
 
-  Scenario: A command that an earlier program wrote without compression is read
-    Then a version of 300 routes that was not compressed is read
+  Scenario: An uncompressed command of an earlier release is decoded
+    Then an uncompressed version of 300 routes is decoded
--- a/features/control/elections.feature
+++ b/features/control/elections.feature
@@ -1,11 +1,11 @@
-Feature: Elections after replicas have started again
+Feature: Elections after restarts, stalls and slow disks
 
-  Time is virtual, a message takes 1 ms, three replicas have had a leader.
+  Time is virtual and a message takes 1 ms.
 
-  Scenario Outline: <who> start again <how>
+  Scenario Outline: <who> restart <how>
     Given three replicas with a leader
-    When <who> start again <how>
-    Then one leads after <least> s at the earliest and <most> s at the latest
+    When <who> restart <how>
+    Then a leader is elected after <least> s at the earliest and <most> s at the latest
 
     Examples:
       | who            | how                        | least | most |
@@ -15,31 +15,31 @@
       | both followers | while the leader is cut off | 0.6  | 1.0  |
       | both followers | while the leader is frozen | 0.6   | 1.0  |
 
-  Scenario: A replica that starts again beside a leader disturbs nobody
+  Scenario: A follower that restarts does not disrupt the leader
     Given three replicas with a leader
-    When one follower starts again
-    Then the same one leads in the same term for 5 s
+    When one follower restarts
+    Then the leader remains the same in the same term for 5 s
 
-  Scenario Outline: Only a replica whose log lacks nothing is elected at once
-    Given three replicas with a leader, of which <ahead> hold one entry more
-    When all start again at once
-    Then one of those that are ahead leads within 1.5 s
+  Scenario Outline: A replica with an outdated log is not elected after a restart of all
+    Given three replicas with a leader, of which <ahead> hold an additional entry
+    When all restart at once
+    Then a replica with the additional entry is elected within 1.5 s
 
     Examples:
       | ahead |
       | 1     |
       | 2     |
 
-  Scenario: No two replicas ever hold a lease, whoever starts again when
-    Then over 300 drawn histories of starts, cuts and freezes two never hold one
+  Scenario: Two replicas never hold a lease at the same time during restarts
+    Then in 300 random histories of restarts, network cuts and freezes at most one replica holds a lease
 
-  Scenario: No two replicas ever hold a lease, whoever hands over when
-    Then over 300 drawn histories of these and of leaders that hand over two never hold one
+  Scenario: Two replicas never hold a lease at the same time during leadership transfers
+    Then in 300 random histories that include leadership transfers at most one replica holds a lease
 
-  Scenario Outline: A leader that hands over and is cut off <after> ms later
+  Scenario Outline: A leader that transfers its leadership is cut off <after> ms later
     Given three replicas with a leader
-    When the leader hands over and is cut off <after> ms later
-    Then two never hold a lease, and another one leads within <most> s
+    When the leader transfers its leadership and is cut off <after> ms later
+    Then at most one replica holds a lease, and another leader is elected within <most> s
 
     Examples:
       | after | most |
@@ -48,10 +48,10 @@
       | 2     | 0.1  |
       | 3     | 0.1  |
 
-  Scenario Outline: A voter that <has> is asked for <what>
+  Scenario Outline: A voter that <has> receives a request for <what>
     Given a voter that <has>
-    When another one asks it for <what>
-    Then it says <answer>
+    When another voter requests <what>
+    Then the voter replies <answer>
 
     Examples:
       | has                                | what                     | answer  |
@@ -68,14 +68,14 @@
       | led until 0.1 s ago                | a pre-vote               | no      |
       | led until 0.1 s ago                | a vote as all are idle   | no      |
 
-  Scenario: Replicas that are ready at the same instant seldom split their votes
-    When all of three replicas start again at the same instant, 200 times
+  Scenario: Replicas that restart at the same instant rarely split their votes
+    When three replicas restart at the same instant, 200 times
     Then 9 in 10 have a leader within 0.3 s, all within 1.2 s
 
-  # Guards against two voters that refuse each other for good.
+  # Guards against two voters that refuse each other's votes forever.
   Scenario Outline: Two of three voters with terms <terms> and logs <logs> elect a leader
     Given two of three voters in terms <terms> whose logs end at <logs>
-    Then one of them leads within 3 s
+    Then one of them is elected within 3 s
 
     Examples:
       | terms | logs  |
@@ -85,15 +85,15 @@
       | 5, 7  | 11, 10 |
       | 5, 9  | 11, 10 |
 
-  Scenario: Two of three voters elect a leader whatever they hold and have heard
-    Then of all pairs of terms, logs and last contacts each leads within 3 s
+  Scenario: Two of three voters elect a leader from any combination of states
+    Then with every pair of terms, logs and last contacts a leader is elected within 3 s
 
-  # Guards against elections that never come to their end, as processes that are
-  # late or disks that are slow take longer than the pauses between them.
+  # Guards against elections that never succeed, because stalled processes or slow
+  # disks delay votes for longer than the election timeout.
   Scenario Outline: Replicas stall for up to <stall> s, <together>, and sync in up to <sync> s
     Given <count> replicas that stall for up to <stall> s, <together>, and sync in up to <sync> s
     When they run for 60 s, in 6 histories
-    Then none is without a leader for <longest> s, and all lead over half of the time
+    Then none is without a leader for <longest> s, and all have one for over half of the time
 
     Examples:
       | count | stall | together | sync | longest |
@@ -120,12 +120,13 @@
       | 0.0   | 0.6  |
       | 0.0   | 1.2  |
 
-  # Guards against a count of failed elections that grows without a bound.
-  Scenario: Timeouts stay bounded after 5000 failed elections
-    When a replica has seen 5000 failed elections
-    Then its election timeouts are at most 4 times the usual ones
+  # Guards against election timeouts that grow with each failed election without a
+  # bound.
+  Scenario: Election timeouts stay bounded after 5000 failed elections
+    When a replica has recorded 5000 failed elections
+    Then its election timeouts are at most 4 times the regular ones
 
-  # Guards against the vote of an earlier process that counts as a failed election.
-  Scenario: A replica that starts with a vote on its disk waits no longer than others
-    When a replica starts that has voted in its term, and stands for election
-    Then its election timeouts are at most 1 times the usual ones
+  # Guards against counting the vote of an earlier process as a failed election.
+  Scenario: A stored vote does not extend election timeouts after a restart
+    When a replica restarts with a stored vote and campaigns
+    Then its election timeouts are at most 1 times the regular ones
--- a/features/control/quorum.feature
+++ b/features/control/quorum.feature
@@ -1,23 +1,23 @@
-Feature: What a set of replicas bears is known and logged
+Feature: The fault tolerance of a replica set is computed and logged
 
-  Scenario Outline: <voters> voters of which <silent> do not answer
+  Scenario Outline: <voters> voters of which <silent> do not reply
     Given a set of <voters> voters
-    When <silent> of them do not answer
-    Then the set bears <bears> more losses
+    When <silent> of them do not reply
+    Then the set tolerates <tolerated> more failures
 
     Examples:
-      | voters | silent | bears |
-      | 1      | 0      | 0     |
-      | 3      | 0      | 1     |
-      | 3      | 1      | 0     |
-      | 3      | 2      | -1    |
-      | 4      | 0      | 1     |
-      | 4      | 1      | 0     |
-      | 5      | 0      | 2     |
-      | 8      | 1      | 2     |
+      | voters | silent | tolerated |
+      | 1      | 0      | 0         |
+      | 3      | 0      | 1         |
+      | 3      | 1      | 0         |
+      | 3      | 2      | -1        |
+      | 4      | 0      | 1         |
+      | 4      | 1      | 0         |
+      | 5      | 0      | 2         |
+      | 8      | 1      | 2         |
 
   Scenario Outline: <what> is logged with <field>
-    Given three replicas of which one is replaced and two are lost
+    Given three replicas of which one is replaced and two fail
     Then the replicas log "<what>" with <field>
 
     Examples:
@@ -30,14 +30,14 @@
       | elected             | commit  |
       | not elected         | unanswered |
 
-  Scenario: A voter that responds and stores nothing more does not count
-    Given three replicas of which one responds and takes no entries
-    Then the replicas log "fault tolerance reduced" naming it as lagging
-    And they log it again each 10 s
+  Scenario: A voter that replies and stores no new entries counts as unavailable
+    Given three replicas of which one replies and rejects all entries
+    Then the replicas name that voter as lagging in "fault tolerance reduced"
+    And they repeat the log line every 10 s
 
-  Scenario Outline: A vote that is refused for <reason> is logged with that reason
-    Given a replica that seeks votes, and one refuses for <reason>
-    Then "not elected" gives that reason
+  Scenario Outline: A vote refused for <reason> is logged with that reason
+    Given a candidate whose vote request is refused for <reason>
+    Then "not elected" is logged with that reason
 
     Examples:
       | reason       |
--- a/features/steps/elections_steps.py
+++ b/features/steps/elections_steps.py
@@ -1,4 +1,4 @@
-"""Steps on elections, with replicas in virtual time and no disk."""
+"""Steps for elections of replicas in virtual time, without disks."""
 
 import heapq
 import itertools
@@ -21,7 +21,7 @@
 
 
 def replica_set() -> replicas.ReplicaSet:
-    """Return the set of all three."""
+    """Return the set of three voters."""
     return replicas.ReplicaSet(
         voters=tuple(
             replicas.Replica(name=name, disk="d", address=f"{name}:1")
@@ -31,7 +31,7 @@
 
 
 class Cluster:
-    """Three replicas whose messages, clocks and starts a test decides."""
+    """Three replicas whose messages, clock and restarts the test controls."""
 
     def __init__(self, seed: int):
         self.rng = random.Random(seed)
@@ -58,7 +58,7 @@
             self.rafts[replica.identity] = raft
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         end = self.now + seconds
         while self.now < end:
             self.now += TICK_S / 5
@@ -70,7 +70,7 @@
                     self.carry_out(identity)
 
     def deliver(self) -> None:
-        """Hand over the messages that are due."""
+        """Deliver the messages that are due."""
         while self.mail and self.mail[0][0] <= self.now:
             _, _, sender, to, message = heapq.heappop(self.mail)
             if {sender, to} & self.cut or to in self.down | self.frozen:
@@ -79,7 +79,7 @@
             self.carry_out(to)
 
     def carry_out(self, identity: str) -> None:
-        """Carry out what a replica wants done; disks take no time."""
+        """Carry out the work of a replica; a sync takes no time."""
         raft = self.rafts[identity]
         while True:
             raft.flush_appends(self.now)
@@ -94,7 +94,7 @@
                 heapq.heappush(self.mail, (*item, outgoing.message))
 
     def restart(self, identity: str) -> None:
-        """Start a replica again with what its disk holds."""
+        """Restart a replica with its stored log and hard state."""
         old = self.rafts[identity]
         self.rafts[identity] = raft_lib.Raft(
             identity,
@@ -105,7 +105,7 @@
         )
 
     def leaders(self) -> list[str]:
-        """Return who leads with a lease, by what each one believes."""
+        """Return the replicas that hold a lease, in their own view."""
         return [
             identity
             for identity, raft in self.rafts.items()
@@ -114,7 +114,7 @@
 
 
 def with_leader(seed: int = 3) -> Cluster:
-    """Return replicas of which one leads."""
+    """Return a cluster with an elected leader."""
     cluster = Cluster(seed)
     while len(cluster.leaders()) != 1:
         cluster.run(0.05)
@@ -122,7 +122,7 @@
 
 
 def followers(cluster: Cluster) -> list[str]:
-    """Return who does not lead."""
+    """Return the replicas that do not lead."""
     leader = cluster.leaders()[0]
     return [identity for identity in cluster.rafts if identity != leader]
 
@@ -132,8 +132,10 @@
     context.cluster = with_leader()
 
 
-@given("three replicas with a leader, of which {ahead:d} hold one entry more")
-def some_ahead(context, ahead):
+@given(
+    "three replicas with a leader, of which {ahead:d} hold an additional entry"
+)
+def some_hold_additional_entry(context, ahead):
     cluster = with_leader()
     names = cluster.leaders() + followers(cluster)
     context.ahead = names[:ahead]
@@ -147,54 +149,54 @@
     context.cluster = cluster
 
 
-@when("{who} start again but one {later}")
-def start_but_one(context, who, later):
+@when("{who} restart but one {later}")
+def restart_but_one(context, who, later):
     cluster = context.cluster
     *first, last = list(cluster.rafts)
-    begin(cluster, first)
+    restart(cluster, first)
     cluster.down.add(last)
     if later != "never":
         wait_s = float(later.split()[0])
-        context.spent_s = run_until_led(cluster, wait_s)
+        context.elapsed_s = run_until_led(cluster, wait_s)
         cluster.restart(last)
         cluster.down.clear()
 
 
-@when("both followers start again while the leader is {state}")
-def start_followers(context, state):
+@when("both followers restart while the leader is {state}")
+def restart_followers(context, state):
     cluster = context.cluster
     leader = cluster.leaders()[0]
-    begin(cluster, followers(cluster))
+    restart(cluster, followers(cluster))
     (cluster.cut if state == "cut off" else cluster.frozen).add(leader)
 
 
-@when("all start again at once")
-def start_all(context):
-    begin(context.cluster, list(context.cluster.rafts))
+@when("all restart at once")
+def restart_all(context):
+    restart(context.cluster, list(context.cluster.rafts))
 
 
-@when("one follower starts again")
-def start_one(context):
+@when("one follower restarts")
+def restart_one(context):
     cluster = context.cluster
     context.leader = cluster.leaders()[0]
     context.term = cluster.rafts[context.leader].term
-    begin(cluster, followers(cluster)[:1])
+    restart(cluster, followers(cluster)[:1])
 
 
-def begin(cluster: Cluster, names: list[str]) -> None:
-    """Start replicas again; what was on its way to them is lost."""
+def restart(cluster: Cluster, names: list[str]) -> None:
+    """Restart replicas; messages in flight to them are lost."""
     for identity in names:
         cluster.restart(identity)
     cluster.mail = [item for item in cluster.mail if item[3] not in names]
 
 
-def run_until_led(cluster: Cluster, most_s: float) -> float:
-    """Let time pass until somebody who was started leads; return how much."""
+def run_until_led(cluster: Cluster, limit_s: float) -> float:
+    """Run until a new leader holds a lease; return the elapsed seconds."""
     began = cluster.now
     old = {
         identity for identity, raft in cluster.rafts.items() if raft.is_leader
     }
-    while cluster.now < began + most_s:
+    while cluster.now < began + limit_s:
         cluster.run(TICK_S)
         if set(cluster.leaders()) - old - cluster.cut - cluster.frozen:
             break
@@ -202,16 +204,17 @@
 
 
 @then(
-    "one leads after {least:g} s at the earliest and {most:g} s at the latest"
+    "a leader is elected after {least:g} s at the earliest and {most:g} s at"
+    " the latest"
 )
-def one_leads(context, least, most):
-    spent_s = getattr(context, "spent_s", 0.0)
-    spent_s += run_until_led(context.cluster, 3.0)
-    assert least <= spent_s <= most, spent_s
+def leader_is_elected(context, least, most):
+    elapsed_s = getattr(context, "elapsed_s", 0.0)
+    elapsed_s += run_until_led(context.cluster, 3.0)
+    assert least <= elapsed_s <= most, elapsed_s
 
 
-@when("the leader hands over and is cut off {after:d} ms later")
-def hands_over_cut(context, after):
+@when("the leader transfers its leadership and is cut off {after:d} ms later")
+def transfers_leadership_and_is_cut_off(context, after):
     cluster = context.cluster
     (context.old,) = cluster.leaders()
     cluster.rafts[context.old].transfer_leadership(cluster.now)
@@ -220,21 +223,26 @@
     cluster.cut = {context.old}
 
 
-@then("two never hold a lease, and another one leads within {most:g} s")
-def another_leads(context, most):
+@then(
+    "at most one replica holds a lease, and another leader is elected within"
+    " {most:g} s"
+)
+def another_is_elected(context, most):
     cluster = context.cluster
-    led_after_s = None
+    elected_after_s = None
     for step in range(2000):
         leaders = cluster.leaders()
         assert len(leaders) <= 1, (step, leaders)
-        if led_after_s is None and leaders and leaders != [context.old]:
-            led_after_s = step * DELAY_S
+        if elected_after_s is None and leaders and leaders != [context.old]:
+            elected_after_s = step * DELAY_S
         cluster.run(DELAY_S)
-    assert led_after_s is not None and led_after_s <= most, led_after_s
+    assert (
+        elected_after_s is not None and elected_after_s <= most
+    ), elected_after_s
 
 
-@then("the same one leads in the same term for {seconds:g} s")
-def same_leads(context, seconds):
+@then("the leader remains the same in the same term for {seconds:g} s")
+def leader_remains(context, seconds):
     cluster = context.cluster
     for _ in range(int(seconds / 0.05)):
         cluster.run(0.05)
@@ -242,36 +250,36 @@
     assert cluster.rafts[context.leader].term == context.term
 
 
-@then("one of those that are ahead leads within {most:g} s")
-def ahead_leads(context, most):
+@then("a replica with the additional entry is elected within {most:g} s")
+def up_to_date_replica_is_elected(context, most):
     run_until_led(context.cluster, most)
     (leader,) = context.cluster.leaders()
     assert leader in context.ahead, leader
 
 
-FAULTS = ("start", "start", "start all", "cut", "freeze", "mend")
+FAULTS = ("restart", "restart", "restart all", "cut", "freeze", "repair")
 
 
 @then(
-    "over {count:d} drawn histories of starts, cuts and freezes two never hold"
-    " one"
+    "in {count:d} random histories of restarts, network cuts and freezes at most"
+    " one replica holds a lease"
 )
-def never_two(context, count):
+def one_lease_during_restarts(context, count):
     for seed in range(count):
         play_drawn(seed, FAULTS)
 
 
 @then(
-    "over {count:d} drawn histories of these and of leaders that hand over two"
-    " never hold one"
+    "in {count:d} random histories that include leadership transfers at most one"
+    " replica holds a lease"
 )
-def never_two_handing_over(context, count):
+def one_lease_during_transfers(context, count):
     for seed in range(count):
-        play_drawn(seed, (*FAULTS, "hand over", "hand over", "hand over"))
+        play_drawn(seed, (*FAULTS, "transfer", "transfer", "transfer"))
 
 
 def play_drawn(seed: int, kinds: tuple[str, ...]) -> None:
-    """Play a drawn history; check all the time that one lease is held."""
+    """Play a random history; check that at most one lease is ever held."""
     cluster = with_leader(seed)
     rng = random.Random(seed)
     for _ in range(6):
@@ -282,19 +290,19 @@
 
 
 def act(cluster: Cluster, rng: random.Random, kinds: tuple[str, ...]) -> None:
-    """Start some replicas again, cut or freeze one, or mend everything."""
+    """Apply a random fault to the cluster, or repair all faults."""
     names = list(cluster.rafts)
     what = rng.choice(kinds)
-    if what == "start all":
-        begin(cluster, [n for n in names if n not in cluster.frozen])
-    elif what == "start":
+    if what == "restart all":
+        restart(cluster, [n for n in names if n not in cluster.frozen])
+    elif what == "restart":
         some = rng.sample(names, rng.randint(1, 2))
-        begin(cluster, [n for n in some if n not in cluster.frozen])
+        restart(cluster, [n for n in some if n not in cluster.frozen])
     elif what == "cut":
         cluster.cut = {rng.choice(names)}
     elif what == "freeze":
         cluster.frozen = {rng.choice(names)}
-    elif what == "hand over":
+    elif what == "transfer":
         for identity in cluster.leaders():
             cluster.rafts[identity].transfer_leadership(cluster.now)
     else:
@@ -302,7 +310,7 @@
         cluster.frozen.clear()
 
 
-# --- one replica and one question --------------------------------------------
+# --- one voter and one request -----------------------------------------------
 
 ASKED_AT = 100.0
 ME, OTHER, THIRD = (r.identity for r in replica_set().voters)
@@ -338,8 +346,8 @@
     context.raft = raft
 
 
-@when("another one asks it for {what}")
-def asks_for(context, what):
+@when("another voter requests {what}")
+def requests(context, what):
     raft = context.raft
     current = "too old" not in what
     request = peers.VoteRequest(
@@ -355,23 +363,23 @@
     context.answer = outgoing.message
 
 
-@then("it says {answer}")
-def says(context, answer):
-    found = (context.answer.granted, context.answer.idle)
-    assert found == ("yes" in answer, "idle" in answer), context.answer
+@then("the voter replies {answer}")
+def replies(context, answer):
+    reply = (context.answer.granted, context.answer.idle)
+    assert reply == ("yes" in answer, "idle" in answer), context.answer
 
 
-@when("all of three replicas start again at the same instant, {count:d} times")
-def start_often(context, count):
+@when("three replicas restart at the same instant, {count:d} times")
+def restart_repeatedly(context, count):
     context.times = []
     for seed in range(count):
         cluster = with_leader(seed)
-        begin(cluster, list(cluster.rafts))
+        restart(cluster, list(cluster.rafts))
         context.times.append(run_until_led(cluster, 3.0))
 
 
 @then("9 in 10 have a leader within {most:g} s, all within {longest:g} s")
-def seldom_split(context, most, longest):
+def votes_rarely_split(context, most, longest):
     times = sorted(context.times)
     assert times[len(times) * 9 // 10] <= most, times
     assert times[-1] <= longest, times[-5:]
@@ -389,8 +397,8 @@
     ]
 
 
-@then("one of them leads within {most:g} s")
-def one_of_two_leads(context, most):
+@then("one of them is elected within {most:g} s")
+def one_of_two_is_elected(context, most):
     assert survivors.time_to_lead(context.rafts, most) is not None, [
         (raft.term, raft.log.last_index, raft.refusals)
         for raft in context.rafts
@@ -398,23 +406,24 @@
 
 
 @then(
-    "of all pairs of terms, logs and last contacts each leads within {most:g} s"
+    "with every pair of terms, logs and last contacts a leader is elected within"
+    " {most:g} s"
 )
-def all_pairs_lead(_, most):
+def all_pairs_elect_a_leader(_, most):
     stuck = survivors.stuck_pairs(most)
     assert not stuck, (len(stuck), stuck[:5])
 
 
-@when("a replica has seen {count:d} failed elections")
-def failed_elections(context, count):
+@when("a replica has recorded {count:d} failed elections")
+def failed_elections_recorded(context, count):
     raft = raft_lib.Raft("a#d", random.Random(1))
     for _ in range(count):
         raft.timer.record_failure(100.0)
     context.timer = raft.timer
 
 
-@when("a replica starts that has voted in its term, and stands for election")
-def starts_with_vote(context):
+@when("a replica restarts with a stored vote and campaigns")
+def restarts_with_vote(context):
     raft = raft_lib.Raft(
         "a#d",
         random.Random(1),
@@ -426,6 +435,6 @@
     context.timer = raft.timer
 
 
-@then("its election timeouts are at most {times:g} times the usual ones")
-def bounded_timeouts(context, times):
+@then("its election timeouts are at most {times:g} times the regular ones")
+def timeouts_are_bounded(context, times):
     assert context.timer.timeout_scale(100.2) <= times
--- a/features/steps/faultydisk_steps.py
+++ b/features/steps/faultydisk_steps.py
@@ -1,4 +1,4 @@
-"""Steps on disks that refuse writes."""
+"""Steps for disks that refuse writes."""
 
 import errno
 import os
@@ -60,7 +60,7 @@
 
 
 @when("it goes on for {seconds:g} s")
-def goes_on(context, seconds):
+def runs_for(context, seconds):
     with context.patches[0], context.patches[1]:
         context.site.run_until(context.site.now + seconds)
 
--- a/features/steps/flow_steps.py
+++ b/features/steps/flow_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a leader sends to replicas that learn."""
+"""Steps for the messages that a leader sends to learners and followers."""
 
 from behave import given
 from behave import then
@@ -26,27 +26,27 @@
         links.propose(1, size)
         links.run(0.3, stop=lambda: committed_all(links))
     links.run(1.0)
-    context.lacks = count * size
+    context.missing_bytes = count * size
     links.lost_lease_s = 0.0
     own = links.links[links.leader.identity]
     context.before = own.sent
 
 
 def committed_all(links) -> bool:
-    """Return whether the voters have all that was proposed."""
+    """Return whether all proposed entries are committed."""
     leader = links.leader
     return leader.commit == leader.log.last_index
 
 
-@when("{count:d} replicas with empty disks begin to learn")
-def begin(context, count):
+@when("{count:d} learners with empty disks are added")
+def learners_added(context, count):
     context.names = [f"new{n}" for n in range(count)]
-    context.lacks *= count
-    context.links.let_learn(context.names)
+    context.missing_bytes *= count
+    context.links.add_learners(context.names)
 
 
-@then("they have all of it within {seconds:g} s")
-def have_all(context, seconds):
+@then("they have replicated the log within {seconds:g} s")
+def have_replicated(context, seconds):
     links = context.links
     took_s = links.run(seconds, stop=lambda: learned_all(context))
     assert learned_all(context), {
@@ -56,40 +56,39 @@
 
 
 def learned_all(context) -> bool:
-    """Return whether the learners have the leader's log."""
+    """Return whether the learners have all entries of the leader."""
     last = context.links.leader.log.last_index
     found = [context.links.rafts[f"{n}#d"] for n in context.names]
     return all(raft.log.last_index >= last for raft in found)
 
 
-@then("the leader sent at most {share:g} times what they lacked")
-@then("the leader sent at most {share:g} times what it lacks")
+@then("the leader sent at most {share:g} times the missing bytes")
 def sent_at_most(context, share):
     links = context.links
     sent = links.links[links.leader.identity].sent - context.before
-    assert sent <= share * context.lacks, sent / context.lacks
+    assert sent <= share * context.missing_bytes, sent / context.missing_bytes
 
 
-@then("the leader kept its lease all the time")
-def kept_lease(context):
+@then("the leader never lost its lease")
+def never_lost_lease(context):
     assert context.links.lost_lease_s == 0.0, context.links.lost_lease_s
 
 
-@when("a replica that never answers begins to learn, for {seconds:g} s")
-def never_answers(context, seconds):
-    context.links.let_learn(["new0"])
+@when("a learner that never replies is added, for {seconds:g} s")
+def never_replies(context, seconds):
+    context.links.add_learners(["new0"])
     del context.links.rafts["new0#d"]
     context.links.run(seconds)
 
 
 @when(
-    "a replica with an empty disk learns and all messages of {seconds:g} s are"
+    "a learner with an empty disk is added and all messages of {seconds:g} s are"
     " lost"
 )
 def messages_lost(context, seconds):
     links = context.links
     context.names = ["new0"]
-    links.let_learn(context.names)
+    links.add_learners(context.names)
     links.run(0.05)
     end = links.now + seconds
     while links.now < end:
@@ -97,7 +96,7 @@
         links.mail = [item for item in links.mail if "new0" not in item[2]]
 
 
-@then("a change that is proposed meanwhile is committed within {seconds:g} s")
+@then("a change proposed meanwhile is committed within {seconds:g} s")
 def committed_soon(context, seconds):
     links = context.links
     links.run(0.3)
@@ -108,7 +107,7 @@
     assert links.leader.commit >= index, (links.leader.commit, index)
 
 
-# Longest wait for another leader.
+# Longest wait for the election of another leader.
 ELECTION_S = 3.0
 MARGIN_BYTES = 16 * 1024
 
@@ -122,8 +121,10 @@
     links.carry_out(context.old.identity)
 
 
-@when("another one leads and accepts {count:d} changes of {size:d} bytes")
-def another_leads(context, count, size):
+@when(
+    "another leader is elected and accepts {count:d} changes of {size:d} bytes"
+)
+def another_is_elected(context, count, size):
     links = context.links
     links.run(ELECTION_S, stop=lambda: other_leader(context) is not None)
     links.leader = other_leader(context)
@@ -134,7 +135,7 @@
 
 
 def other_leader(context):
-    """Return a leader that is not the one that was cut off."""
+    """Return a leader other than the one that is cut off, None for none."""
     for raft in context.links.rafts.values():
         if raft.is_leader and raft is not context.old:
             return raft
@@ -142,26 +143,26 @@
 
 
 @when(
-    "the old leader is back while a change of {size:d} bytes comes each"
+    "the old leader reconnects while a change of {size:d} bytes is proposed every"
     " {gap:g} s"
 )
-def old_leader_back(context, size, gap):
+def old_leader_reconnects(context, size, gap):
     links = context.links
     context.size, context.gap = size, gap
-    lacked = links.leader.log.slice(links.leader.term_start_index, 1 << 40)
-    context.lacks = sum(len(entry.data) for entry in lacked)
+    missing = links.leader.log.slice(links.leader.term_start_index, 1 << 40)
+    context.missing_bytes = sum(len(entry.data) for entry in missing)
     context.before = sent_to_old(context)
     links.cut = set()
 
 
 def sent_to_old(context) -> int:
-    """Return the bytes that the leader has sent to the old leader."""
+    """Return the bytes sent by the new leader to the old one."""
     links = context.links
     own = links.links[links.leader.identity]
     return own.sent_to[context.old.identity]
 
 
-@then("it has the log of the new leader within {seconds:g} s")
+@then("the old leader has the log of the new leader within {seconds:g} s")
 def has_log(context, seconds):
     links, old = context.links, context.old
     end = links.now + seconds
@@ -169,7 +170,7 @@
         links.run(context.gap, stop=lambda: is_repaired(context))
         if not is_repaired(context):
             links.propose(1, context.size)
-            context.lacks += context.size
+            context.missing_bytes += context.size
     assert is_repaired(context), (
         old.log.last_index,
         links.leader.log.last_index,
@@ -178,15 +179,17 @@
 
 
 def is_repaired(context) -> bool:
-    """Return whether the old leader holds what the new one has committed."""
+    """Return whether the old leader has all committed entries."""
     return context.old.commit >= context.links.leader.commit
 
 
-@then("the new leader sent it at most {share:g} times what it lacked and 16 KB")
+@then(
+    "the new leader sent it at most {share:g} times the missing bytes plus 16 KB"
+)
 def sent_it_at_most(context, share):
     sent = sent_to_old(context) - context.before
-    most = share * context.lacks + MARGIN_BYTES
-    assert sent <= most, (sent, context.lacks)
+    most = share * context.missing_bytes + MARGIN_BYTES
+    assert sent <= most, (sent, context.missing_bytes)
 
 
 # --- a leader and one follower, message by message ---------------------------
@@ -203,7 +206,7 @@
     context.logs = (common + own, common + other)
 
 
-@when("the leader probes and gets each response {times:d} times")
+@when("the leader probes and receives each reply {times:d} times")
 def probes(context, times):
     context.pair = logpairs.Pair(*context.logs, times)
     context.pair.lead()
@@ -223,38 +226,38 @@
     assert pair.follower.log.entries == pair.leader.log.entries
 
 
-@given("a leader and a follower that lost entries which it had acknowledged")
+@given("a leader and a follower that has lost acknowledged entries")
 def lost_acknowledged(context):
     context.pair = logpairs.after_loss()
 
 
-@when("time passes for {seconds:g} s")
-def time_passes(context, seconds):
+@when("they run for {seconds:g} s")
+def pair_runs(context, seconds):
     context.pair.run_with_third(seconds)
 
 
-@then("the leader sent it at most {most:d} appends and no entries")
+@then("the leader sent the follower at most {most:d} appends and no entries")
 def sent_probes_only(context, most):
     appends = context.pair.appends
     entries = [append for append in appends[1:] if append.entries]
     assert len(appends) <= most and not entries, (len(appends), len(entries))
 
 
-@given("a leader of four voters that removes one")
-def removes_one(context):
+@given("a leader of four voters that removes a voter")
+def removes_voter(context):
     raft = context.raft = logpairs.leader_of(4)
     voters = raft.replica_set.voters
     context.kept, context.removed = voters[1], voters[3]
     for voter in voters[1:]:
-        respond(context, voter, raft.log.last_index)
+        acknowledge(context, voter, raft.log.last_index)
     wanted = replicas.ReplicaSet(voters=voters[:3])
     assert raft.change_replicas(wanted, logpairs.NOW)
     raft.take_ready()
     raft.on_synced(raft.log.last_index, logpairs.NOW)
 
 
-def respond(context, voter, match: int) -> None:
-    """Let a voter acknowledge the log up to an entry."""
+def acknowledge(context, voter, match: int) -> None:
+    """Deliver a voter's acknowledgement of the log up to an index."""
     context.raft.step(
         peers.AppendReply(
             term=context.raft.term,
@@ -268,17 +271,17 @@
     )
 
 
-@when("the one to be removed responds last of a majority")
-def removed_responds_last(context):
+@when("the removed voter replies last of a majority")
+def removed_replies_last(context):
     index = context.raft.log.last_index
-    respond(context, context.kept, index)
+    acknowledge(context, context.kept, index)
     assert context.raft.commit < index
     context.raft.take_ready()
-    respond(context, context.removed, index)
+    acknowledge(context, context.removed, index)
     assert context.raft.commit == index
 
 
-@then("the removal is committed and the removed one is sent nothing more")
+@then("the removal is committed and the removed voter is sent no more messages")
 def removal_committed(context):
     raft = context.raft
     assert not raft.replica_set.is_joint
--- a/features/steps/lateprocesses_steps.py
+++ b/features/steps/lateprocesses_steps.py
@@ -1,4 +1,4 @@
-"""Steps on elections of replicas that stall or sync slowly, in virtual time."""
+"""Steps for elections of replicas that stall or sync slowly, in virtual time."""
 
 import random
 
@@ -8,25 +8,25 @@
 
 from features.support import lateprocesses
 
-LATE_HISTORIES = 6
+HISTORIES = 6
 
 
 @given(
     "{count:d} replicas that stall for up to {stall:g} s, {together}, and sync"
     " in up to {sync:g} s"
 )
-def late_replicas(context, count, stall, together, sync):
+def replicas_that_stall(context, count, stall, together, sync):
     lateness = lateprocesses.Lateness(
         stall_s=stall, sync_s=sync, at_once=together == "together"
     )
     context.late = [
         lateprocesses.LateCluster(random.Random(seed), lateness, count)
-        for seed in range(LATE_HISTORIES)
+        for seed in range(HISTORIES)
     ]
 
 
 @when("they run for {seconds:d} s, in 6 histories")
-def late_run(context, seconds):
+def run_histories(context, seconds):
     for cluster in context.late:
         cluster.run(seconds)
 
@@ -35,7 +35,7 @@
     "they run for {seconds:d} s and {more:d} s more without their leader, in"
     " 6 histories"
 )
-def late_run_without_leader(context, seconds, more):
+def run_and_lose_leader(context, seconds, more):
     for cluster in context.late:
         cluster.run(seconds)
         cluster.lose_leader()
@@ -43,17 +43,17 @@
 
 
 @then("none is without a leader for {longest:g} s")
-def late_elected(context, longest):
-    found = [round(cluster.longest_s, 1) for cluster in context.late]
-    assert max(found) < longest, found
+def leader_elected_in_time(context, longest):
+    without_leader_s = [round(cluster.longest_s, 1) for cluster in context.late]
+    assert max(without_leader_s) < longest, without_leader_s
 
 
 @then(
-    "none is without a leader for {longest:g} s, and all lead over half of the"
-    " time"
+    "none is without a leader for {longest:g} s, and all have one for over half"
+    " of the time"
 )
-def late_led(context, longest):
-    late_elected(context, longest)
+def leader_most_of_the_time(context, longest):
+    leader_elected_in_time(context, longest)
     shares = [
         cluster.led_s / (cluster.now - lateprocesses.START_S)
         for cluster in context.late
--- a/features/steps/quorum_steps.py
+++ b/features/steps/quorum_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a set of replicas bears, and how that is logged."""
+"""Steps for the fault tolerance of a replica set and its log lines."""
 
 import random
 from unittest import mock
@@ -27,19 +27,19 @@
     )
 
 
-@when("{count:d} of them do not answer")
-def do_not_answer(context, count):
-    silent = {voter.identity for voter in context.set.voters[:count]}
-    context.bears = quorum.failures_tolerated(context.set, silent)
+@when("{count:d} of them do not reply")
+def do_not_reply(context, count):
+    unresponsive = {voter.identity for voter in context.set.voters[:count]}
+    context.tolerated = quorum.failures_tolerated(context.set, unresponsive)
 
 
-@then("the set bears {bears:d} more losses")
-def bears_losses(context, bears):
-    assert context.bears == bears, context.bears
+@then("the set tolerates {count:d} more failures")
+def tolerates_failures(context, count):
+    assert context.tolerated == count, context.tolerated
 
 
-@given("three replicas of which one is replaced and two are lost")
-def replaced_and_lost(context):
+@given("three replicas of which one is replaced and two fail")
+def one_replaced_and_two_failed(context):
     site = replacements.Site(random.Random(1), losses=1)
     site.begin()
     logs = {}
@@ -58,7 +58,7 @@
 
 
 def step(site: controlmachine.Cluster, logs: dict) -> None:
-    """Let a little time pass, and each replica log what has changed."""
+    """Advance the time a little, and let each replica log its changes."""
     site.run_until(site.now + 0.02)
     for replica in site.replicas.values():
         if replica.node is None:
@@ -76,14 +76,14 @@
     assert all(field in record.kwargs for record in found), found[0].kwargs
 
 
-@given("three replicas of which one responds and takes no entries")
-def takes_no_entries(context):
+@given("three replicas of which one replies and rejects all entries")
+def rejects_all_entries(context):
     site = replacements.Site(random.Random(2), losses=1)
     site.begin()
     context.lagging = site.follower()
     right = raft_lib.Raft.on_append
 
-    def take_nothing(raft, message, now):
+    def reject_entries(raft, message, now):
         if not raft.identity.startswith(context.lagging):
             right(raft, message, now)
             return
@@ -93,15 +93,15 @@
     logs = {}
     with (
         logbook.TestHandler() as handler,
-        mock.patch.object(raft_lib.Raft, "on_append", take_nothing),
+        mock.patch.object(raft_lib.Raft, "on_append", reject_entries),
     ):
         for _ in range(1_500):
             step(site, logs)
     context.records = handler.records
 
 
-@then('the replicas log "{what}" naming it as lagging')
-def names_lagging(context, what):
+@then('the replicas name that voter as lagging in "{what}"')
+def logged_as_lagging(context, what):
     found = lines(context, what)
     named = [list(record.kwargs["lagging"]) for record in found]
     assert named and all(
@@ -111,8 +111,8 @@
     assert not any(record.kwargs["silent"] for record in found), found
 
 
-@then("they log it again each {seconds:g} s")
-def again_each(context, seconds):
+@then("they repeat the log line every {seconds:g} s")
+def log_line_repeated(context, seconds):
     found = lines(context, "fault tolerance reduced")
     reduced_s = [record.kwargs["reduced_for_s"] for record in found]
     pauses = [b - a for a, b in zip(reduced_s, reduced_s[1:], strict=False)]
@@ -120,13 +120,13 @@
     assert all(seconds <= p <= 1.2 * seconds for p in pauses), pauses
 
 
-@given("a replica that seeks votes, and one refuses for {reason}")
-def seeks_votes(context, reason):
+@given("a candidate whose vote request is refused for {reason}")
+def vote_request_refused(context, reason):
     site = replacements.Site(random.Random(3), losses=1)
     site.begin()
-    alone, other, _ = site.voters()
+    candidate, other, _ = site.voters()
     for name in site.voters():
-        if name != alone:
+        if name != candidate:
             site.gone(name)
     context.refuser = site.identity(site.replicas[other]).identity
     context.reason = peers.Refusal(reason)
@@ -134,12 +134,12 @@
     with logbook.TestHandler() as handler:
         for _ in range(300):
             step(site, logs)
-            refuse(site.replicas[alone].node, context, site.now)
+            refuse(site.replicas[candidate].node, context, site.now)
     context.records = handler.records
 
 
 def refuse(node, context, now: float) -> None:
-    """Refuse the pre-vote that a replica seeks."""
+    """Deliver a refusal of the candidate's pre-vote request."""
     node.on_peer(
         peers.VoteReply(
             term=0,
@@ -153,12 +153,12 @@
     )
 
 
-@then('"{what}" gives that reason')
+@then('"{what}" is logged with that reason')
 def logged_with_reason(context, what):
     last = lines(context, what)[-1]
     assert last.kwargs["refused"] == {context.refuser: context.reason}, last
 
 
 def lines(context, what: str) -> list:
-    """Return the records of one message."""
+    """Return the log records of an event."""
     return [r for r in context.records if r.message == what]
--- a/features/steps/repairdefects_steps.py
+++ b/features/steps/repairdefects_steps.py
@@ -1,4 +1,4 @@
-"""Steps that plant defects in the repair of replicas."""
+"""Steps for mutants of the log repair."""
 
 import random
 
@@ -9,25 +9,25 @@
 from features.support import replacements
 from features.support import survivors
 
-STORM = "all storm for 6 s; leader cut for 3 s; 8 s; leader wiped"
+BURST = "all storm for 6 s; leader cut for 3 s; 8 s; leader wiped"
 FULL = "follower full for 3 s; 5.5 s; leader wiped"
 ELECTION_S = 3.0
-# Twice the heartbeats of a second.
+# Twice the number of heartbeats per second.
 MAX_PROBES = 20
 
 
-def repairs_an_old_leader() -> bool:
-    """Return whether a storm at a leader that is cut off leaves a whole set."""
-    return not replacements.faults_after(STORM, 1, 0)
+def repairs_old_leader() -> bool:
+    """Return whether the set recovers from a burst at a leader that is cut off."""
+    return not replacements.faults_after(BURST, 1, 0)
 
 
-def votes_after_a_full_disk() -> bool:
-    """Return whether a replica whose disk was full counts again."""
+def recovers_from_full_disk() -> bool:
+    """Return whether a replica is a voter again after its disk was full."""
     return not replacements.faults_after(FULL, 1, 0)
 
 
-def keeps_a_new_learner() -> bool:
-    """Return whether a learner beside an old leader stays until it votes."""
+def keeps_new_learner() -> bool:
+    """Return whether a leader of some age keeps a learner before its reply."""
     site = replacements.Site(random.Random(5))
     site.begin()
     site.gone(site.follower())
@@ -40,8 +40,8 @@
     return "d" in [learner.name for learner in learners]
 
 
-def sees_a_voter_that_lags() -> bool:
-    """Return whether a voter that responds and stores nothing is noticed."""
+def detects_lagging_voter() -> bool:
+    """Return whether a voter that replies and stores nothing is detected."""
     site = replacements.Site(random.Random(5))
     site.begin()
     identity = site.identity(site.replicas[site.follower()]).identity
@@ -52,7 +52,7 @@
 
 
 def elects_one_of_two() -> bool:
-    """Return whether voters in different terms elect a leader."""
+    """Return whether two voters in different terms elect a leader."""
     rafts = [
         survivors.survivor(name, term, (5, end), 9.0)
         for name, term, end in zip(
@@ -63,7 +63,7 @@
 
 
 def probes_without_entries() -> bool:
-    """Return whether a follower that lost entries is probed at a slow pace."""
+    """Return whether a follower that lost entries is probed at a low rate."""
     pair = logpairs.after_loss()
     pair.run_with_third(1.0)
     probes = pair.appends[1:]
@@ -71,28 +71,25 @@
 
 
 CHECKS = (
-    repairs_an_old_leader,
+    repairs_old_leader,
     probes_without_entries,
-    votes_after_a_full_disk,
-    keeps_a_new_learner,
-    sees_a_voter_that_lags,
+    recovers_from_full_disk,
+    keeps_new_learner,
+    detects_lagging_voter,
     elects_one_of_two,
 )
 
 
 def holds(check) -> bool:
-    """Return whether a check holds; one that cannot run does not."""
+    """Return whether a check holds; an AssertionError counts as a failure."""
     try:
         return check()
     except AssertionError:
         return False
 
 
-@then(
-    "each deliberate defect of repairing is caught by a check that holds"
-    " without it"
-)
-def each_is_caught(context):
+@then("each mutant of the log repair fails a check that holds without it")
+def mutants_detected(context):
     del context
     assert all(holds(check) for check in CHECKS)
     missed = []
--- a/features/steps/replacement_steps.py
+++ b/features/steps/replacement_steps.py
@@ -1,4 +1,4 @@
-"""Steps on VMs that are replaced, restarted, frozen and wiped in a row."""
+"""Steps for histories of VMs that are replaced, restarted, frozen and wiped."""
 
 import random
 
@@ -32,15 +32,17 @@
 )
 
 
-@then("these histories end with a whole set that bears the losses it has to")
-def histories_end_whole(context):
+@then(
+    "after each of these histories the replica set has its full fault tolerance"
+)
+def set_recovers(context):
     broken = [
         (row["history"], seed, faults)
         for row in context.table
         for seed in SEEDS
         if (
             faults := replacements.faults_after(
-                row["history"], int(row["bears"]), seed
+                row["history"], int(row["tolerates"]), seed
             )
         )
     ]
@@ -48,10 +50,10 @@
 
 
 @then(
-    "{count:d} drawn histories end with a whole set that bears the losses it"
-    " has to"
+    "after each of {count:d} random histories the replica set has its full fault"
+    " tolerance"
 )
-def drawn_histories_end_whole(context, count):
+def set_recovers_from_random_histories(context, count):
     broken = []
     for seed in range(count):
         losses, history = replacements.draw(seed)
@@ -61,8 +63,8 @@
     assert not broken, "\n".join(str(item) for item in broken)
 
 
-@then("each deliberate defect of replacing is caught by one of these histories")
-def defects_caught(context):
+@then("each mutant of the membership changes fails one of these histories")
+def mutants_detected(context):
     missed = []
     for label in mutants.REPLACING:
         with mutants.planted(mutants.REPLACING, label):
@@ -73,17 +75,19 @@
 
 
 def breaks(row) -> bool:
-    """Return whether a history of a table shows a fault, or cannot begin."""
+    """Return whether a history of a table fails or cannot start."""
     try:
         return bool(
-            replacements.faults_after(row["history"], int(row["bears"]), 0)
+            replacements.faults_after(row["history"], int(row["tolerates"]), 0)
         )
     except AssertionError:
         return True
 
 
-@then('in {count:d} plays of "{history}" nobody leads for {most:g} s at most')
-def hands_over(context, count, history, most):
+@then(
+    'in {count:d} runs of "{history}" there is no leader for at most {most:g} s'
+)
+def transfers_leadership(context, count, history, most):
     times = [
         replacements.time_without_leader(history, seed) for seed in range(count)
     ]
@@ -91,10 +95,10 @@
 
 
 @then(
-    "of {count:d} histories that hypothesis draws none leaves a set that bears"
-    " less"
+    "after each of {count:d} generated histories the replica set has its full"
+    " fault tolerance"
 )
-def hypothesis_finds_none(context, count):
+def set_recovers_from_generated_histories(context, count):
     @hypothesis.settings(
         max_examples=count, derandomize=True, database=None, deadline=None
     )
@@ -111,8 +115,8 @@
     holds()
 
 
-@given("a leader that has led for {age:g} s and a replica that is gone")
-def old_leader(context, age):
+@given("a leader that has led for {age:g} s and a replica that has failed")
+def leader_of_age(context, age):
     site = context.site = replacements.Site(random.Random(5))
     site.begin()
     leader = site.known_leader()
@@ -122,23 +126,21 @@
     site.run_until(site.now + replacements.START_S)
 
 
-@when(
-    "a new replica asks for a vote and its messages are lost for {seconds:g} s"
-)
+@when("a new replica asks to join and its messages are lost for {seconds:g} s")
 def messages_lost(context, seconds):
     site = context.site
     site.added("d")
     site.ask_leader(site.replicas["d"])
-    # The call has arrived; what the replica sends next is lost.
+    # The call has arrived; the next messages of the replica are lost.
     others = set(site.replicas) - {"d"}
     site.cuts |= {("d", other) for other in others}
     site.run_until(site.now + seconds)
-    assert "d" not in site.voters(), "votes before it responded"
+    assert "d" not in site.voters(), "promoted before its first reply"
     site.joined("d")
 
 
-@then("it votes within {seconds:g} s and was not removed before")
-def votes_within(context, seconds):
+@then("it is a voter within {seconds:g} s and was not removed before")
+def is_voter_within(context, seconds):
     site = context.site
     end = site.now + seconds
     while site.now < end and "d" not in site.voters():
--- a/features/steps/replicafaults_steps.py
+++ b/features/steps/replicafaults_steps.py
@@ -1,4 +1,4 @@
-"""Steps on faults in a replica's own work."""
+"""Steps for exceptions in a replica."""
 
 import asyncio
 import errno
@@ -43,8 +43,8 @@
     context.records = handler.records
 
 
-@then("the replica ends and its log names {name}")
-def replica_ends(context, name):
+@then("the replica terminates and logs {name}")
+def replica_terminates(context, name):
     assert type(context.ended_with).__name__ == name, context.ended_with
     (record,) = [r for r in context.records if r.level_name == "CRITICAL"]
     assert name in record.kwargs["fault"], record.kwargs
@@ -67,8 +67,8 @@
     context.add_cleanup(patched.stop)
 
 
-@when("it is sent, and another one after it")
-def sent_in_turn(context):
+@when("it is proposed, followed by another command")
+def proposed_in_turn(context):
     site = context.site
     leader = site.leader()
     context.answers = []
@@ -82,7 +82,7 @@
 
 
 def log_for(context, seconds: float) -> None:
-    """Let time pass; each replica logs what has changed."""
+    """Advance the time, and let each replica log its changes."""
     site = context.site
     end = site.now + seconds
     while site.now < end:
@@ -103,7 +103,7 @@
     assert not isinstance(second, outcomes.Refused), second
 
 
-@then("all replicas run and log the command that was skipped once each")
+@then("all replicas keep running and log the skipped command once each")
 def logged_once(context):
     site = context.site
     assert all(site.is_up(name) for name in site.replicas)
@@ -112,8 +112,8 @@
     assert all("ZeroDivisionError" in r.kwargs["fault"] for r in found), found
 
 
-@then("so they do when all have started again")
-def started_again(context):
+@then("the same holds after a restart of all replicas")
+def holds_after_restart(context):
     site = context.site
     site.take_step("all restarted for 1.0 s")
     with logbook.TestHandler() as handler:
@@ -136,8 +136,8 @@
     context.add_cleanup(patched.stop)
 
 
-@when("it is called so, and for a change after it")
-def called_so(context):
+@when("it receives such a call, followed by a change")
+def receives_failing_call(context):
     site = context.site
     leader = site.leader()
     context.answers = []
@@ -154,7 +154,7 @@
     assert site.leader() is leader
 
 
-@then('the leader logs "{what}" with the fault')
+@then('the leader logs "{what}" with the exception')
 def leader_logs(context, what):
     (record,) = [r for r in context.records if r.message == what]
     assert "ZeroDivisionError" in record.kwargs["fault"], record.kwargs
--- a/features/steps/timers_steps.py
+++ b/features/steps/timers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the timers of a replica and the elections that they decide."""
+"""Steps for the timers of a replica and elections in real processes."""
 
 import asyncio
 import datetime
@@ -23,11 +23,11 @@
 DOWN_S = 0.3
 WATCH_S = 4.0
 FIRST_S = 5.0
-LOOK_EVERY_S = 0.1
+POLL_INTERVAL_S = 0.1
 
 
 class StubNode:
-    """Stands in for the decisions: its next timer is set by the test."""
+    """Replaces `ControlNode`; the test sets its next timer."""
 
     def __init__(self, due: float):
         self.due = due
@@ -36,7 +36,7 @@
         self.hub = None
 
     def tick(self, _now):
-        """Count a timer."""
+        """Count the ticks."""
         self.ticks += 1
 
     def next_wake(self):
@@ -44,16 +44,16 @@
         return self.due
 
     def on_peer(self, _message, _now):
-        """Bring the timer forward."""
+        """Move the timer forward."""
         self.due = self.forward_to
 
     def call(self, _message, _now, reply):
-        """Bring the timer forward and answer."""
+        """Move the timer forward and reply."""
         self.due = self.forward_to
         reply(outcomes.Done())
 
     def process(self, _now):
-        """Bring the timer forward."""
+        """Move the timer forward."""
         self.due = self.forward_to
 
 
@@ -63,7 +63,7 @@
 
 
 def server_of(folder: disk.DataFolder, **settings):
-    """Return a replica's server that listens nowhere."""
+    """Return a replica's server that listens on no port."""
     return controlserver.ControlServer(
         settings_lib.ControlSettings(
             replica="r",
@@ -78,13 +78,13 @@
     )
 
 
-@given("a replica whose seeds are all gone")
-def seeds_gone(context):
+@given("a replica whose seeds are unreachable")
+def seeds_unreachable(context):
     context.seeds = ("127.0.0.1:5", "127.0.0.1:6")
 
 
-@when('another one at "{address}" writes to it')
-def writes_to_it(context, address):
+@when('another replica at "{address}" sends it a message')
+def receives_message(context, address):
     async def story():
         folder = disk.DataFolder(context.folder / "data")
         folder.open()
@@ -108,13 +108,13 @@
     asyncio.run(story())
 
 
-@then('it asks at "{address}" for its vote')
-def asks_at(context, address):
+@then('it asks at "{address}" to join')
+def asks_to_join(context, address):
     assert address in context.asked, context.asked
 
 
-@when("{what} brings it forward to {seconds:g} s")
-def brought_forward(context, what, seconds):
+@when("{what} moves it forward to {seconds:g} s")
+def timer_moved_forward(context, what, seconds):
     async def story():
         folder = disk.DataFolder(context.folder / "data")
         folder.open()
@@ -147,13 +147,13 @@
     assert context.ticks >= 2, context.ticks
 
 
-@given("{count:d} replicas in processes of their own")
+@given("{count:d} replicas in separate processes")
 def replicas_in_processes(context, count):
     context.count = count
 
 
-@when("all are killed and started {times:d} times")
-def killed_and_started(context, times):
+@when("all are killed and restarted {times:d} times")
+def killed_and_restarted(context, times):
     async def story():
         fleet = fleet_lib.Fleet(context.folder)
         await fleet.start(context.count, 0)
@@ -170,10 +170,10 @@
 
 
 async def one_round(fleet: fleet_lib.Fleet) -> list[float]:
-    """Kill and start all; return when replicas began to lead.
+    """Kill and restart all; return when replicas became leader.
 
-    In seconds since the last of them has loaded its libraries, as that takes
-    ten times as long on some machines as on others.
+    In seconds since the last of them has loaded its libraries, which takes ten
+    times as long on some machines as on others.
     """
     for program in fleet.replicas:
         program.kill()
@@ -203,7 +203,7 @@
 
 
 def led_at(log) -> list[float]:
-    """Return when a replica began to lead, by its log."""
+    """Return the times at which a replica became leader, from its log."""
     found = []
     for line in log.read_text().splitlines():
         if not line.startswith("{"):
@@ -215,8 +215,8 @@
     return found
 
 
-@then("each time one leads within {seconds:g} s and none takes over from it")
-def one_leads(context, seconds):
+@then("each time a leader is elected within {seconds:g} s and stays leader")
+def leader_elected_and_stays(context, seconds):
     for found in context.rounds:
         assert len(found) == 1, context.rounds
         assert found[0] < seconds, context.rounds
@@ -231,19 +231,19 @@
         await fleet.start(context.count, 0)
         try:
             await until_they_run(fleet)
-            return await look_for_leaders(fleet, seconds)
+            return await poll_leaders(fleet, seconds)
         finally:
             await fleet.close()
 
-    context.looks = asyncio.run(story())
+    context.polls = asyncio.run(story())
 
 
-async def look_for_leaders(
+async def poll_leaders(
     fleet: fleet_lib.Fleet, seconds: float
 ) -> list[tuple[float, bool]]:
-    """Return at which times some replica said that it leads, or none did."""
+    """Return the times of the polls, and whether a replica led at each."""
     began = time.monotonic()
-    looks = []
+    polls = []
     while time.monotonic() < began + seconds:
         states = await asyncio.gather(
             *(
@@ -252,9 +252,9 @@
             )
         )
         leads = any(s and s["info"]["role"] == "leader" for s in states)
-        looks.append((time.monotonic() - began, leads))
-        await asyncio.sleep(LOOK_EVERY_S)
-    return looks
+        polls.append((time.monotonic() - began, leads))
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return polls
 
 
 @then(
@@ -263,8 +263,8 @@
 )
 def had_leaders(context, longest):
     without_from = 0.0
-    for at, leads in context.looks:
+    for at, leads in context.polls:
         without_from = at if leads else without_from
-        assert at - without_from < longest, context.looks
-    count = sum(leads for _, leads in context.looks)
-    assert count > len(context.looks) / 2, context.looks
+        assert at - without_from < longest, context.polls
+    count = sum(leads for _, leads in context.polls)
+    assert count > len(context.polls) / 2, context.polls
--- a/features/support/controlmachine.py
+++ b/features/support/controlmachine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the replicated control state against an oracle."""
+"""Stateful fuzz test of the replicated control state against an oracle."""
 
 import heapq
 import json
@@ -45,7 +45,7 @@
 LEASE_S = 2.0
 MAX_CALLS = 2_000
 MAX_CALLS_PER_S = 200
-# An operation goes to two replicas and back, in up to two messages each.
+# An operation reaches two replicas and returns, in up to two messages each.
 CALLS_PER_OPERATION = 8
 # Trailing blanks of a patch in a burst, so that a few fill a message.
 PADDING = b" " * 3000
@@ -53,11 +53,11 @@
 
 
 class CrashedError(Exception):
-    """The process was killed in the middle of a step."""
+    """The process was killed during a step."""
 
 
 class FaultyDisk(storage.MemoryStorage):
-    """A disk on which a crash can come between write and sync."""
+    """A disk on which a crash can occur between write and sync."""
 
     def __init__(self):
         super().__init__()
@@ -65,13 +65,13 @@
         self.full = False
 
     def store(self, batch):
-        """Keep a batch, unless the disk is full or the process dies."""
+        """Store a batch, unless the disk is full or the process is killed."""
         if self.full:
             return Error(
                 errors.Failure(errors.ErrorCode.UNAVAILABLE, "disk is full")
             )
         if self.crash_next:
-            # Written, not synced: a crash loses it.
+            # Written but not synced, so the crash loses it.
             self.crash_next = False
             raise CrashedError
         return super().store(batch)
@@ -79,12 +79,12 @@
 
 @attrs.define(eq=False)
 class WatchedNode(node_lib.ControlNode):
-    """A replica whose applied entries are compared with all others'."""
+    """A replica whose applied entries are compared with the other replicas'."""
 
     all_applied: dict[int, tuple] = attrs.Factory(dict)
 
     def apply(self, entry):
-        """Check the entry, then apply it."""
+        """Compare the entry, then apply it."""
         seen = (entry.term, entry.kind, entry.data)
         known = self.all_applied.setdefault(entry.index, seen)
         assert known == seen, f"entry {entry.index} differs"
@@ -93,7 +93,7 @@
 
 @attrs.define(eq=False)
 class SimReplica:
-    """One replica's process and disk."""
+    """Process and disk of one replica."""
 
     name: str
     disk_name: str
@@ -107,7 +107,7 @@
 
 @attrs.define
 class Operation:
-    """One call of a client, with its place in time."""
+    """One call of a client, with the times of call and reply."""
 
     command: object
     called_at: float
@@ -117,7 +117,7 @@
 
 @attrs.define(eq=False)
 class Cluster:
-    """Replicas in virtual time, joined by a faulty network."""
+    """Replicas in virtual time, connected by a faulty network."""
 
     rng: random.Random
     required_voters: int = 1
@@ -137,7 +137,7 @@
     # --- time ------------------------------------------------------------
 
     def at(self, when, call, *arguments):
-        """Plan a call; replicas that answer each other for ever show."""
+        """Schedule a call; fail on an endless exchange of messages."""
         self.number += 1
         busiest = MAX_CALLS + MAX_CALLS_PER_S * self.now
         busiest += CALLS_PER_OPERATION * len(self.operations)
@@ -145,7 +145,7 @@
         heapq.heappush(self.queue, (when, self.number, call, arguments))
 
     def run_until(self, end):
-        """Run all calls up to a time."""
+        """Run all scheduled calls up to a time."""
         while self.queue and self.queue[0][0] <= end:
             when, _, call, arguments = heapq.heappop(self.queue)
             self.now = max(self.now, when)
@@ -153,7 +153,7 @@
         self.now = max(self.now, end)
 
     def clock(self, replica):
-        """Return a replica's own clock, which drifts."""
+        """Return the time of a replica's own clock, which drifts."""
         return self.now * replica.rate
 
     # --- processes -------------------------------------------------------
@@ -172,7 +172,7 @@
             replica.node.bootstrap(self.clock(replica))
 
     def identity(self, replica):
-        """Return how the set of replicas names a replica."""
+        """Return a replica as a member of a replica set."""
         return replicas.Replica(
             name=replica.name, disk=replica.disk_name, address=replica.name
         )
@@ -198,7 +198,7 @@
         replica.node = None
 
     def guard(self, replica, call, *arguments):
-        """Run a step of a replica; it may die on the way."""
+        """Run a step of a replica, during which it may be killed."""
         if replica.node is None:
             return
         try:
@@ -210,14 +210,14 @@
         self.plan_tick(replica)
 
     def check(self, replica):
-        """Check what must hold of one replica."""
+        """Check that each term has at most one leader."""
         raft = replica.node.raft
         if raft.is_leader:
             known = self.leaders.setdefault(raft.term, raft.identity)
             assert known == raft.identity, f"two leaders in {raft.term}"
 
     def plan_tick(self, replica):
-        """Plan the next tick of a replica."""
+        """Schedule the next tick of a replica."""
         node = replica.node
         if node is None:
             return
@@ -266,7 +266,7 @@
             self.at(self.now + delay, self.arrive, target, message)
 
     def arrive(self, target, message):
-        """Give a message to whatever process runs there now."""
+        """Pass a message to the process that runs on the target now."""
         if self.now < target.frozen_until:
             self.at(target.frozen_until, self.arrive, target, message)
         elif target.node is not None:
@@ -275,7 +275,7 @@
     # --- clients ---------------------------------------------------------
 
     def call(self, name, command, roam=True):
-        """Call one replica, then the others; remember the operation."""
+        """Call one replica, then the others in turn; record the operation."""
         operation = Operation(command, self.now)
         self.operations.append(operation)
         self.try_call(name, operation)
@@ -284,7 +284,7 @@
         return operation
 
     def roam(self, name, operation):
-        """Ask the next replica, as a client does, until the time is over."""
+        """Call the next replica, as a client does, until the call times out."""
         over = self.now > operation.called_at + CALL_TIMEOUT_S
         if operation.answer is not None or over:
             return
@@ -315,10 +315,10 @@
         self.guard(replica, step)
 
     def note_lease(self, operation):
-        """Check that a granted lease was not held by somebody else.
+        """Check that no other holder had a granted lease at the same time.
 
-        A holder begins when it is told and counts the end from when it asked,
-        so one that is told too late never holds it.
+        A holder uses a lease from the reply on and counts its end from the
+        call, so a reply after that end grants nothing.
         """
         command = operation.command
         if not isinstance(command, fences.TakeLease):
@@ -338,7 +338,7 @@
         )
 
     def leader(self):
-        """Return a replica that leads and is up, if there is one."""
+        """Return the running leader of the highest term, None for none."""
         leading = [
             r
             for r in self.replicas.values()
@@ -350,11 +350,11 @@
 
 
 class ControlMachine(stateful.RuleBasedStateMachine):
-    """Drives a small cluster through commands and faults."""
+    """Runs a small cluster through random commands and faults."""
 
     @stateful.initialize(seed=st.integers(0, 2**16))
     def build(self, seed):
-        """Build three voters and let them settle."""
+        """Start three replicas and wait until they are voters."""
         self.cluster = Cluster(random.Random(seed))
         self.number = 0
         self.cluster.add("a", bootstrap=True)
@@ -365,13 +365,13 @@
         assert len(self.voters()) == len(NAMES)
 
     def voters(self):
-        """Return the voters that the leader knows."""
+        """Return the identities of the leader's voters by name."""
         leader = self.cluster.leader()
         found = leader.node.raft.replica_set if leader else None
         return {r.name: r.identity for r in found.voters} if found else {}
 
     def change(self, action, name, replaces=""):
-        """Ask the leader to change the set of replicas."""
+        """Ask the leader for a membership change."""
         leader = self.cluster.leader()
         if leader is None:
             return
@@ -383,7 +383,7 @@
         self.cluster.call(leader.name, change)
 
     def join(self, name, replaces=""):
-        """Let a replica learn and then vote."""
+        """Add a replica as a learner, then promote it."""
         self.change(messages.ReplicaAction.LEARN, name)
         self.cluster.run_until(self.cluster.now + 1.0)
         self.change(messages.ReplicaAction.PROMOTE, name, replaces)
@@ -391,7 +391,7 @@
 
     @stateful.rule(name=VOTER, version=st.integers(-1, 0), repeat=st.booleans())
     def patch(self, name, version, repeat):
-        """Let an operator patch, maybe with a stale or repeated number."""
+        """Send an operator's patch, maybe with a stale version or a known id."""
         replica = self.cluster.replicas[name]
         if replica.node is None:
             return
@@ -410,9 +410,9 @@
 
     @stateful.rule(count=st.sampled_from((1, 10, 30)))
     def burst(self, count):
-        """Let operators send changes to every replica that leads.
+        """Send changes to every replica that leads.
 
-        One that has been cut off accepts them as well, without a quorum.
+        An isolated leader also accepts them, without a quorum.
         """
         for name, replica in self.cluster.replicas.items():
             for _ in range(count):
@@ -439,7 +439,7 @@
         token=st.sampled_from(("t1", "t2")),
     )
     def claim(self, name, key, token):
-        """Take a claim."""
+        """Request a claim."""
         self.cluster.call(
             name,
             messages.TakeClaim(
@@ -454,7 +454,7 @@
 
     @stateful.rule(name=VOTER, holder=st.sampled_from(("x", "y")))
     def lease(self, name, holder):
-        """Take the lease that only one may hold."""
+        """Request the lease that only one holder may have."""
         self.cluster.call(
             name,
             fences.TakeLease(name="orders", holder=holder, lease_s=LEASE_S),
@@ -462,7 +462,7 @@
 
     @stateful.rule(seconds=st.sampled_from((0.05, 0.3, 1.0, 3.0)))
     def wait(self, seconds):
-        """Let time pass."""
+        """Advance the time."""
         self.cluster.run_until(self.cluster.now + seconds)
 
     @stateful.rule(
@@ -472,16 +472,17 @@
         seconds=st.sampled_from((0.5, 2.5, 5.0)),
     )
     def fault(self, kind, name, far, seconds):
-        """Let something fail."""
+        """Inject a fault."""
         leader = self.cluster.leader()
         if name == far and leader is not None:
-            # Half of the time, hit where it hurts most.
+            # If both names are equal, hit the leader: its faults have the
+            # most effect.
             name = leader.name
         getattr(self, kind)(name, far, seconds)
 
     @stateful.rule()
     def mend(self):
-        """Heal the network and start what was killed."""
+        """Repair network and disks and restart killed replicas."""
         cluster = self.cluster
         cluster.cuts.clear()
         cluster.loss = cluster.duplication = cluster.delay_s = 0.0
@@ -496,7 +497,7 @@
         self.cluster.crash(self.cluster.replicas[name])
 
     def restart(self, name, *_):
-        """Kill a replica and start it at once."""
+        """Kill a replica and restart it at once."""
         self.cluster.crash(self.cluster.replicas[name])
         self.cluster.start(self.cluster.replicas[name])
 
@@ -512,20 +513,20 @@
         )
 
     def isolate(self, name, *_):
-        """Cut a replica off from all others."""
+        """Isolate a replica from all others."""
         for other in self.cluster.replicas:
             self.cluster.cuts |= {(name, other), (other, name)}
 
     def cut_one_way(self, name, far, _):
-        """Lose messages from one replica to another."""
+        """Drop all messages from one replica to another."""
         self.cluster.cuts.add((name, far))
 
     def lose_messages(self, *_):
-        """Lose a part of all messages."""
+        """Drop a fraction of all messages."""
         self.cluster.loss = LOSS
 
     def repeat_messages(self, *_):
-        """Deliver a part of all messages twice."""
+        """Deliver a fraction of all messages twice."""
         self.cluster.duplication = DUPLICATION
 
     def delay_messages(self, *_):
@@ -537,7 +538,7 @@
         self.cluster.replicas[name].disk.full = True
 
     def lose_disk(self, name, *_):
-        """Lose a disk and repair, where a quorum is up to do it."""
+        """Lose a disk and replace the replica, if a quorum is running."""
         cluster = self.cluster
         known = self.voters()
         if name not in known or cluster.leader().name == name:
@@ -545,20 +546,20 @@
         lost = known[name]
         left = [n for n in known if n != name and self.is_up(n, known)]
         if len(left) * 2 <= len(known):
-            # A minority would be left: the repair is a restore by hand.
+            # Without a quorum the repair is a manual restore.
             return
         cluster.crash(cluster.replicas[name])
         cluster.add(name)
         self.join(name, replaces=lost)
 
     def is_up(self, name, known):
-        """Return whether a voter runs on the disk that it votes with."""
+        """Return whether a voter runs on the disk of its identity."""
         replica = self.cluster.replicas[name]
         identity = self.cluster.identity(replica).identity
         return replica.node is not None and identity == known[name]
 
     def snapshot(self, name, *_):
-        """Let a replica save a snapshot now."""
+        """Make a replica save a snapshot now."""
         node = self.cluster.replicas[name].node
         if node is None or node.is_blocked or not node.raft.applied:
             return
@@ -569,16 +570,16 @@
             node_lib.SNAPSHOT_ENTRIES = limit
 
     def teardown(self):
-        """Heal everything; all replicas must agree and serve again."""
+        """Repair all faults; all replicas must agree and serve again."""
         if not hasattr(self, "cluster"):
             return
         cluster = self.cluster
         self.mend()
         cluster.run_until(cluster.now + SETTLE_S)
         leader = cluster.leader()
-        assert leader is not None, "no leader after healing"
+        assert leader is not None, "no leader after repair"
         last = cluster.call(leader.name, messages.ReadConfig())
-        assert last.answer is not None, "no answer after healing"
+        assert last.answer is not None, "no answer after repair"
         cluster.run_until(cluster.now + CALL_TIMEOUT_S)
         self.check_agreement(leader)
         check_history(cluster.operations)
@@ -601,10 +602,10 @@
 
 
 def check_versions(operations: list[Operation]) -> None:
-    """Check that versions grow in real time and each has one winner.
+    """Check that versions never decrease in real time and have one patch each.
 
-    An answered patch or read fixes a version at some moment between call
-    and answer; what is called after an answer must see no older one.
+    A patch or read with a reply takes effect at some time between call and
+    reply. A later call must not see an older version.
     """
     answered = [o for o in operations if o.answer is not None]
     winners: dict[int, bytes] = {}
@@ -624,13 +625,13 @@
 
 
 def check_read(operation: Operation, version: int, seen: list) -> None:
-    """Check that a read saw all that was answered before it was called."""
+    """Check that a read is not older than replies before its call."""
     before = [v for at, v in seen if at < operation.called_at]
     assert version >= max(before, default=0), "stale read"
 
 
 def version_of(operation: Operation) -> int | None:
-    """Return the version that an answer shows to exist."""
+    """Return the version in a reply, None if it has none."""
     if isinstance(operation.answer, messages.PatchAnswer):
         if operation.answer.failure is not None:
             return None
@@ -641,7 +642,7 @@
 
 
 def check_claims(operations: list[Operation]) -> None:
-    """Check that each key was granted to one token only."""
+    """Check that each key was granted to at most one token."""
     owners: dict[str, str] = {}
     for operation in operations:
         answer = operation.answer
--- a/features/support/lateprocesses.py
+++ b/features/support/lateprocesses.py
@@ -1,7 +1,7 @@
 """Replicas in virtual time whose processes stall and whose disks sync slowly.
 
-A process that stalls leaves its messages unread. When it runs again its timers
-come first, as they do on a loop that was late.
+A stalled process does not read its messages. When it resumes, its timers run
+first, as in an event loop that was late.
 """
 
 import collections
@@ -17,7 +17,7 @@
 
 STEP_S = 0.002
 MESSAGE_S = 0.001
-# Operators and endpoints change the state about as often.
+# About as often as operators and endpoints change the state.
 WRITE_EVERY_S = 0.5
 RUNS_AT_LEAST_S = 0.02
 RUNS_AT_MOST_S = 0.3
@@ -26,13 +26,13 @@
 
 @attrs.frozen(kw_only=True)
 class Lateness:
-    """How late processes are.
+    """Duration of stalls and syncs.
 
     Attributes:
-        stall_s: Longest time for which a process does not run; it runs for
-            `RUNS_AT_MOST_S` at the most in between.
-        sync_s: Longest time of a sync, in which a process does nothing else.
-        at_once: Whether all processes stall at the same times.
+        stall_s: Maximum duration of a stall; between stalls a process runs for
+            at most `RUNS_AT_MOST_S`.
+        sync_s: Maximum duration of a sync, which blocks the process.
+        at_once: Whether all processes stall at the same time.
     """
 
     stall_s: float = 0.0
@@ -42,30 +42,30 @@
 
 @attrs.define(eq=False)
 class Process:
-    """One replica, what it has not read yet, and when it runs."""
+    """One replica, its unread messages, and when it runs."""
 
     raft: raft_lib.Raft
     inbox: collections.deque = attrs.Factory(collections.deque)
     busy_until: float = 0.0
-    # Ends of the span in which it runs.
+    # Time span in which it runs.
     runs_from: float = 0.0
     runs_until: float = 0.0
 
-    def runs(self, now: float) -> bool:
-        """Return whether it does something now."""
+    def is_running(self, now: float) -> bool:
+        """Return whether it is neither stalled nor blocked by a sync."""
         return self.runs_from <= now < self.runs_until and (
             now >= self.busy_until
         )
 
     def leads(self) -> bool:
-        """Return whether it leads, with an entry of its term committed."""
+        """Return whether it leads and has applied an entry of its term."""
         raft = self.raft
         return raft.is_leader and raft.applied >= raft.term_start_index
 
 
 @attrs.define(eq=False)
 class LateCluster:
-    """Replicas that are late by what `lateness` draws."""
+    """Replicas with random stalls and syncs within the bounds of `lateness`."""
 
     rng: random.Random
     lateness: Lateness
@@ -78,7 +78,7 @@
     leaders: dict[int, str] = attrs.Factory(dict)
     syncs: int = 0
     write_at: float = 0.0
-    # Spans without a leader, the last one still open.
+    # Start of the current span without a leader, and the longest such span.
     began_without: float = START_S
     longest_s: float = 0.0
     led_s: float = 0.0
@@ -105,7 +105,7 @@
             self.processes[voter.identity] = Process(raft)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP_S
@@ -113,20 +113,20 @@
             for identity, process in self.processes.items():
                 if identity not in self.down:
                     self.run_process(process)
-            self.note_leader()
+            self.record_leader()
             self.check_leases()
 
     def deliver(self) -> None:
-        """Put messages that have arrived into their inboxes."""
+        """Move arrived messages into the inboxes."""
         while self.mail and self.mail[0][0] <= self.now:
             _, _, to, message = heapq.heappop(self.mail)
             if to not in self.down:
                 self.processes[to].inbox.append(message)
 
     def run_process(self, process: Process) -> None:
-        """Run a process where it has its turn, its timer first."""
-        self.draw_turn(process)
-        if not process.runs(self.now):
+        """Run a process if it is not stalled, its timer first."""
+        self.draw_next_run(process)
+        if not process.is_running(self.now):
             return
         raft = process.raft
         if raft.next_wake() <= self.now:
@@ -136,12 +136,12 @@
             self.write_at = self.now + WRITE_EVERY_S
             raft.propose(log_lib.EntryKind.COMMAND, b"x", self.now, self.now)
             self.carry_out(process)
-        while process.inbox and process.runs(self.now):
+        while process.inbox and process.is_running(self.now):
             raft.step(process.inbox.popleft(), self.now)
             self.carry_out(process)
 
-    def draw_turn(self, process: Process) -> None:
-        """Draw when a process runs next, once its turn is over."""
+    def draw_next_run(self, process: Process) -> None:
+        """Draw the next time span of a process, once the last is over."""
         if self.now < process.runs_until:
             return
         stall_s = self.rng.uniform(0.0, self.lateness.stall_s)
@@ -154,7 +154,7 @@
             other.runs_until = other.runs_from + runs_s
 
     def carry_out(self, process: Process) -> None:
-        """Store, sync, then send, as replicas do."""
+        """Store, sync and send, in the order of a replica."""
         raft = process.raft
         while True:
             raft.flush_appends(self.now)
@@ -173,8 +173,8 @@
                 item = (sent_at + MESSAGE_S, next(self.order), outgoing.to)
                 heapq.heappush(self.mail, (*item, outgoing.message))
 
-    def note_leader(self) -> None:
-        """Note for how long nobody leads; two never lead in one term."""
+    def record_leader(self) -> None:
+        """Record the time without a leader; check for one leader per term."""
         leading = False
         for identity, process in self.processes.items():
             if identity in self.down or not process.raft.is_leader:
@@ -188,14 +188,14 @@
         self.longest_s = max(self.longest_s, self.now - self.began_without)
 
     def lose_leader(self) -> None:
-        """Lose the replica that leads, with its unread messages."""
+        """Take the leader down, with its unread messages."""
         for identity, process in self.processes.items():
             if process.raft.is_leader:
                 self.down.add(identity)
                 return
 
     def check_leases(self) -> None:
-        """Check that no two replicas hold a lease."""
+        """Check that at most one replica holds a lease."""
         holders = [
             identity
             for identity, process in self.processes.items()
--- a/features/support/logpairs.py
+++ b/features/support/logpairs.py
@@ -1,4 +1,4 @@
-"""A leader and one follower that exchange messages at once."""
+"""A leader and one follower that exchange messages without delay."""
 
 import random
 
@@ -9,13 +9,16 @@
 from _coltsfootroad.control import replicas
 from features.support import ratedlinks
 
-# Later than the terms of all entries.
+# Greater than the terms of all entries.
 FAR_TERM = 100
 NOW = 50.0
 
 
 class Pair:
-    """A leader and a follower that exchange messages at once."""
+    """A leader and a follower that exchange messages without delay.
+
+    Each message of the follower is delivered `times` times.
+    """
 
     def __init__(self, own: list[int], other: list[int], times: int = 1):
         self.now = NOW
@@ -25,12 +28,12 @@
         self.appends: list[peers.Append] = []
 
     def lead(self) -> None:
-        """Let the leader begin."""
+        """Make the leader replica the leader."""
         self.leader.become_leader(self.now)
         self.exchange()
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         end = self.now + seconds
         while self.now < end:
             self.now += 0.01
@@ -38,7 +41,7 @@
             self.exchange()
 
     def run_with_third(self, seconds: float) -> None:
-        """Let time pass, while a third voter keeps the leader's lease."""
+        """Advance the time while a third voter keeps up the leader lease."""
         third = self.leader.progress[ratedlinks.replica("r2").identity]
         end = self.now + seconds
         while self.now < end:
@@ -46,7 +49,7 @@
             self.run(0.05)
 
     def exchange(self) -> None:
-        """Deliver messages both ways until there are none."""
+        """Deliver messages in both directions until there are none."""
         for _ in range(1_000):
             sent = self.take(self.leader, self.follower)
             appends = [m for m in sent if isinstance(m, peers.Append)]
@@ -54,10 +57,10 @@
             replies = self.take(self.follower, self.leader)
             if not sent and not replies:
                 return
-        raise AssertionError("the exchange does not end")
+        raise AssertionError("messages are exchanged without an end")
 
     def take(self, source: raft_lib.Raft, target: raft_lib.Raft) -> list:
-        """Let one replica carry out its work; return what it sent the other."""
+        """Carry out the work of one replica; return its messages to the other."""
         source.flush_appends(self.now)
         ready = source.take_ready()
         if ready.entries:
@@ -75,7 +78,7 @@
 
 
 def raft_of(name: str, terms: list[int], count: int = 3) -> raft_lib.Raft:
-    """Return a replica of some whose log has entries of these terms."""
+    """Return a replica whose log has one entry for each of the terms."""
     raft = raft_lib.Raft(
         identity=ratedlinks.replica(name).identity,
         rng=random.Random(7),
@@ -103,7 +106,7 @@
 
 
 def after_loss() -> Pair:
-    """Return a pair whose follower lost entries that it had acknowledged."""
+    """Return a pair whose follower has lost acknowledged entries."""
     pair = Pair([1] * 40, [1] * 40)
     pair.lead()
     pair.follower.log.truncate_from(20)
@@ -114,7 +117,7 @@
 
 
 def leader_of(count: int) -> raft_lib.Raft:
-    """Return a leader whose first entry waits for acknowledgements."""
+    """Return a leader whose first entry is not acknowledged yet."""
     raft = raft_of("r0", [1], count)
     raft.become_leader(NOW)
     raft.take_ready()
--- a/features/support/ratedlinks.py
+++ b/features/support/ratedlinks.py
@@ -1,4 +1,4 @@
-"""Replicas of the log behind links of a limited rate, in virtual time."""
+"""Raft replicas behind links of a limited rate, in virtual time."""
 
 import collections
 import heapq
@@ -18,19 +18,19 @@
 
 
 def replica(name: str) -> replicas.Replica:
-    """Return a replica of a name."""
+    """Return a replica with a name."""
     return replicas.Replica(name=name, disk="d", address=f"{name}:1")
 
 
 @attrs.define
 class Link:
-    """The way out of a VM: messages leave it one after the other.
+    """Outgoing link of a VM, which transmits messages one after the other.
 
     Attributes:
-        rate: Bytes a second.
-        free_at: When what was written so far has left.
-        sent: Bytes so far.
-        sent_to: The same by receiver.
+        rate: Bytes per second.
+        free_at: When all messages so far are transmitted.
+        sent: Bytes sent so far.
+        sent_to: Bytes sent so far, by receiver.
     """
 
     rate: float
@@ -38,8 +38,8 @@
     sent: int = 0
     sent_to: collections.Counter = attrs.Factory(collections.Counter)
 
-    def leave(self, size: int, now: float, to: str) -> float:
-        """Write a message to a replica; return when its last byte has left."""
+    def transmit(self, size: int, now: float, to: str) -> float:
+        """Send a message to a replica; return when its last byte is sent."""
         self.sent += size
         self.sent_to[to] += size
         self.free_at = max(self.free_at, now) + size / self.rate
@@ -47,7 +47,7 @@
 
 
 class RatedLinks:
-    """A leader and others, with links and disks that take their time."""
+    """A cluster whose links have a limited rate and whose disks sync slowly."""
 
     def __init__(self, voters: int, mbits: float, sync_s: float):
         self.now = 10.0
@@ -58,7 +58,7 @@
         self.names = [f"r{n}" for n in range(voters)]
         self.links = {}
         self.rafts = {}
-        # When each disk has done what it was given.
+        # When each disk has completed its pending syncs.
         self.disks = {}
         self.lost_lease_s = 0.0
         # Replicas whose messages are lost in both directions.
@@ -82,7 +82,7 @@
         self.run(0.5)
 
     def add(self, identity: str, first: log_lib.Entry | None = None) -> None:
-        """Start a replica."""
+        """Start a replica with an empty log, or with a first entry."""
         log = log_lib.Log()
         if first is not None:
             log.append(first)
@@ -93,7 +93,7 @@
         self.disks[identity] = self.now
 
     def run(self, seconds: float, stop=lambda: False) -> float:
-        """Let time pass until `stop`; return how long it took."""
+        """Run until `stop` or the time limit; return the elapsed seconds."""
         began = self.now
         while self.now < began + seconds and not stop():
             self.now += STEP_S
@@ -102,19 +102,21 @@
                 if raft.next_wake() <= self.now:
                     raft.tick(self.now)
                 self.carry_out(identity)
-            if self.leader_led() and not self.leader.has_lease(self.now):
+            if self.is_leader_established() and not self.leader.has_lease(
+                self.now
+            ):
                 self.lost_lease_s += STEP_S
         return self.now - began
 
-    def leader_led(self) -> bool:
-        """Return whether the leader has been one for a while."""
+    def is_leader_established(self) -> bool:
+        """Return whether the leader has committed an entry of its term."""
         leader = getattr(self, "leader", None)
         return (
             leader is not None and leader.commit >= leader.term_start_index > 0
         )
 
     def deliver(self) -> None:
-        """Hand over the messages that have arrived."""
+        """Deliver the messages that have arrived."""
         while self.mail and self.mail[0][0] <= self.now:
             _, _, to, message = heapq.heappop(self.mail)
             if to in self.rafts and not self.cut & {to, message.sender}:
@@ -122,7 +124,7 @@
                 self.carry_out(to)
 
     def carry_out(self, identity: str) -> None:
-        """Store, sync, send: a disk and a link are busy until they are done."""
+        """Store, sync and send; disk and link are busy until they complete."""
         raft = self.rafts[identity]
         while True:
             raft.flush_appends(self.now)
@@ -138,14 +140,14 @@
             for outgoing in ready.messages:
                 size = len(wirecalls.PEERS.encode(outgoing.message)) + 60
                 link = self.links[identity]
-                arrives = link.leave(size, at, outgoing.to) + TRAVEL_S
+                arrives = link.transmit(size, at, outgoing.to) + TRAVEL_S
                 item = (arrives, next(self.order), outgoing.to)
                 heapq.heappush(self.mail, (*item, outgoing.message))
 
     def propose(
         self, count: int, size: int, raft: raft_lib.Raft | None = None
     ) -> None:
-        """Append commands that do not compress, to the leader or another."""
+        """Propose incompressible commands to the leader or another replica."""
         raft = raft or self.leader
         for _ in range(count):
             raft.propose(
@@ -155,8 +157,8 @@
                 self.now,
             )
 
-    def let_learn(self, names) -> None:
-        """Start replicas with empty disks and let them learn."""
+    def add_learners(self, names) -> None:
+        """Start replicas with empty disks and add them as learners."""
         learners = tuple(replica(name) for name in names)
         for learner in learners:
             self.add(learner.identity)
--- a/features/support/replacements.py
+++ b/features/support/replacements.py
@@ -1,6 +1,7 @@
-"""Replicas that VMs come and go under, in virtual time, with their operators.
+"""Replicas on VMs that fail and are replaced, in virtual time, with an operator.
 
-A history is a line such as `follower gone; 1.5 s; d added; leader wiped`.
+A history is a line such as `follower gone; 1.5 s; d added; leader wiped`: each
+step names a replica and the event that hits it, or seconds to wait.
 """
 
 import random
@@ -16,33 +17,36 @@
 from features.support import controlmachine
 
 NAMES = "abcdefgh"
-# A program listens this long after its VM is back.
+# Time from the return of a VM until its program listens.
 START_S = 1.5
 RESTART_S = 1.0
-# From SIGTERM to the end of a program that has nothing to wait for.
+# Time from SIGTERM to the exit of a program without pending work.
 STOP_S = 0.5
 LEAVE_EVERY_S = 0.1
 FORM_S = 12.0
 WRITE_EVERY_S = 0.8
 STORM_EVERY_S = 0.05
-# Trailing blanks of a change in a storm, so that a few fill a message.
+# Trailing blanks of a change in a burst, so that a few changes fill a message.
 STORM_PADDING = b" " * 3000
-# Time from a loss, return or replacement until the next ones are borne.
-PROMISED_S = 2.5
-# Longest from the last event of a history to the end of what it leads to:
-# a start, the promised time and an election.
-CALM_S = START_S + PROMISED_S + electiontimer.ELECTION_TIMEOUT_MAX_S
+# Time from a loss, return or replacement until the next losses are tolerated.
+RECOVERY_S = 2.5
+# Longest time from the last event of a history until the set has recovered: a
+# start, the recovery time and an election.
+HISTORY_END_S = START_S + RECOVERY_S + electiontimer.ELECTION_TIMEOUT_MAX_S
 STEP = re.compile(r"(?P<who>\w+) (?P<verb>[a-z ]+?)(?: for (?P<s>[\d.]+) s)?$")
 WAIT = re.compile(r"(?P<s>[\d.]+) s$")
 
 
 class NoneLeftError(Exception):
-    """A history asks for a leader or a voter, and there is none."""
+    """A history names a leader or a follower, and there is none."""
 
 
 @attrs.define(eq=False)
 class Site(controlmachine.Cluster):
-    """Replicas, an operator who writes all the time, and VMs that change."""
+    """Replicas on VMs that fail, and an operator who sends changes.
+
+    Methods that are named like the verbs of a history carry out its steps.
+    """
 
     losses: int = 1
     writes: int = 0
@@ -51,7 +55,7 @@
     stopping: set[str] = attrs.Factory(set)
 
     def begin(self) -> None:
-        """Start all replicas with empty disks and wait until they vote."""
+        """Start all replicas with empty disks and wait until they are voters."""
         self.required_voters = 2 * self.losses + 1
         first, *rest = NAMES[: self.required_voters]
         self.add(first, bootstrap=True)
@@ -62,10 +66,10 @@
         self.run_until(self.now + FORM_S)
         assert len(self.voters()) == self.required_voters, self.voters()
 
-    # --- what programs and operators do ----------------------------------
+    # --- programs and operators ------------------------------------------
 
     def ask(self) -> None:
-        """Let each replica without a vote ask the leader for one."""
+        """Let each replica that is not a voter ask the leader to join."""
         for replica in list(self.replicas.values()):
             node = replica.node
             if not self.is_up(replica.name) or replica.name in self.stopping:
@@ -75,7 +79,7 @@
         self.at(self.now + membership.JOIN_INTERVAL_S, self.ask)
 
     def ask_leader(self, replica: controlmachine.SimReplica) -> None:
-        """Ask the leader for a replica's vote, where it can be reached."""
+        """Send a replica's join call to the leader, if it can be reached."""
         leader = self.leader()
         if leader is None or (replica.name, leader.name) in self.cuts:
             return
@@ -83,14 +87,14 @@
         self.call(leader.name, message, roam=False)
 
     def write(self) -> None:
-        """Let the operator send a change, on what the leader holds."""
+        """Let the operator send a change based on the leader's version."""
         leader = self.leader()
         if leader is not None:
             self.patch(leader)
         self.at(self.now + WRITE_EVERY_S, self.write)
 
     def call_leader(self, answers: list) -> None:
-        """Send a change to the leader; keep its answer, a refusal as well."""
+        """Send a change to the leader; append its reply, even a refusal."""
         leader = self.leader()
         self.writes += 1
         command = messages.PatchConfig(
@@ -103,19 +107,19 @@
         self.guard(leader, leader.node.process, now)
 
     def storm(self, _: str, for_s: float) -> None:
-        """Let operators send many changes to every replica that leads."""
-        begins = self.now >= self.storm_until
+        """Send a burst of changes to every replica that leads."""
+        is_first = self.now >= self.storm_until
         self.storm_until = self.now + for_s
-        if begins:
+        if is_first:
             self.write_storm()
 
     def write_storm(self) -> None:
-        """Send a change to every replica that leads, and go on."""
+        """Send a change to every replica that leads, until the burst ends."""
         if self.now >= self.storm_until:
             return
         for replica in self.replicas.values():
-            runs = replica.node is not None and self.is_up(replica.name)
-            if runs and replica.node.raft.is_leader:
+            is_running = replica.node is not None and self.is_up(replica.name)
+            if is_running and replica.node.raft.is_leader:
                 self.patch(replica, STORM_PADDING)
         self.at(self.now + STORM_EVERY_S, self.write_storm)
 
@@ -130,15 +134,15 @@
         )
         return self.call(leader.name, command, roam=False)
 
-    # --- what happens to VMs ---------------------------------------------
+    # --- events of VMs ---------------------------------------------------
 
     def gone(self, name: str, _=0.0) -> None:
-        """Take a VM away for good."""
+        """Remove a VM permanently."""
         self.crash(self.replicas[name])
         self.is_gone.add(name)
 
     def stopped(self, name: str, _=0.0) -> None:
-        """Tell a replica to stop; its VM goes for good after that."""
+        """Stop a replica, then remove its VM permanently."""
         replica = self.replicas[name]
         self.stopping.add(name)
         self.guard(
@@ -148,7 +152,7 @@
         self.at(self.now + STOP_S, self.gone, name)
 
     def leave(self, replica: controlmachine.SimReplica) -> None:
-        """Ask the leader to take a stopping replica's vote, until it has."""
+        """Ask the leader to remove a stopping replica, until it agrees."""
         leader = self.leader()
         if replica.node is None:
             return
@@ -164,32 +168,32 @@
         self.add(name)
 
     def wiped(self, name: str, down_s: float) -> None:
-        """Take a VM's disk; the VM is back later, at its address."""
+        """Remove a VM's disk; the VM returns later at the same address."""
         self.crash(self.replicas[name])
         self.at(self.now + (down_s or START_S), self.add, name)
 
     def restarted(self, name: str, down_s: float) -> None:
-        """Kill a replica; it starts again from its disk."""
+        """Kill a replica and restart it from its disk later."""
         replica = self.replicas[name]
         self.crash(replica)
         self.at(self.now + (down_s or RESTART_S), self.start, replica)
 
     def cut(self, name: str, for_s: float) -> None:
-        """Cut a VM off from all others; they are joined again later."""
+        """Isolate a VM from the network, and reconnect it later."""
         for other in self.replicas:
             self.cuts |= {(name, other), (other, name)}
         self.at(self.now + for_s, self.joined, name)
 
     def joined(self, name: str) -> None:
-        """Join a VM with all others again."""
+        """Reconnect a VM to the network."""
         self.cuts = {pair for pair in self.cuts if name not in pair}
 
     def frozen(self, name: str, for_s: float) -> None:
-        """Let a VM stand still."""
+        """Freeze a VM."""
         self.replicas[name].frozen_until = self.now + for_s
 
     def full(self, name: str, for_s: float) -> None:
-        """Fill a replica's disk; there is room again later."""
+        """Fill a replica's disk, and free space later."""
         disk = self.replicas[name].disk
         disk.full = True
         self.at(self.now + for_s, setattr, disk, "full", False)
@@ -197,13 +201,13 @@
     # --- histories -------------------------------------------------------
 
     def play(self, history: str) -> None:
-        """Let a history happen, and what it leads to come to an end."""
+        """Play a history, and wait until the set has recovered."""
         for step in history.split("; "):
             self.take_step(step)
-        self.run_until(self.now + CALM_S)
+        self.run_until(self.now + HISTORY_END_S)
 
     def take_step(self, step: str) -> None:
-        """Let one step of a history happen."""
+        """Carry out one step of a history."""
         wait = WAIT.match(step)
         if wait:
             self.run_until(self.now + float(wait["s"]))
@@ -214,7 +218,7 @@
             act(name, float(found["s"] or 0.0))
 
     def named(self, who: str) -> list[str]:
-        """Return the replicas that a word stands for."""
+        """Return the replicas that a word of a history selects."""
         if who == "all":
             return [n for n in self.replicas if n not in self.is_gone]
         if who == "rest":
@@ -226,11 +230,11 @@
         return [who]
 
     def follower(self) -> str:
-        """Return a voter that runs and does not lead."""
+        """Return a running voter that is not the leader."""
         leader = self.known_leader()
         names = [n for n in self.voters() if self.is_up(n) and n != leader]
         if not names:
-            raise NoneLeftError("no voter that follows")
+            raise NoneLeftError("no follower")
         return names[0]
 
     def known_leader(self) -> str:
@@ -252,10 +256,10 @@
             return []
         return [r.name for r in leader.node.raft.replica_set.voters]
 
-    # --- what must hold after it -----------------------------------------
+    # --- invariants after a history --------------------------------------
 
     def faults(self) -> list[str]:
-        """Return what does not hold after a history, in words."""
+        """Return descriptions of the invariants that do not hold."""
         leader = self.leader()
         if leader is None:
             return ["no leader"]
@@ -269,26 +273,26 @@
         lagging = [n for n in self.voters() if self.lags(n, committed)]
         if lagging:
             found.append(f"{lagging} lack entry {committed}")
-        bears = self.bears()
-        if bears < self.losses:
-            found.append(f"bears {bears} losses, not {self.losses}")
+        tolerated = self.failures_tolerated()
+        if tolerated < self.losses:
+            found.append(f"tolerates {tolerated} failures, not {self.losses}")
         running = {n for n in self.replicas if self.is_up(n)}
         without = sorted(running - set(self.voters()))
         if without:
-            found.append(f"{without} run without a vote")
+            found.append(f"{without} run and are no voters")
         controlmachine.check_history(self.operations)
         return found
 
-    def bears(self) -> int:
-        """Return how many more losses the set bears in truth."""
+    def failures_tolerated(self) -> int:
+        """Return how many more failures the set tolerates in fact."""
         leader = self.leader()
         current = leader.node.raft.replica_set
-        silent = {
+        failed = {
             voter.identity
             for voter in current.voters
             if not self.votes_as(voter)
         }
-        return quorum.failures_tolerated(current, silent)
+        return quorum.failures_tolerated(current, failed)
 
     def lags(self, name: str, committed: int) -> bool:
         """Return whether a replica runs and lacks a committed entry."""
@@ -296,13 +300,13 @@
         return self.is_up(name) and replica.node.raft.commit < committed
 
     def votes_as(self, voter) -> bool:
-        """Return whether a voter runs on the disk that it votes with."""
+        """Return whether a voter runs on the disk of its identity."""
         replica = self.replicas[voter.name]
         return self.is_up(voter.name) and replica.disk_name == voter.disk
 
 
 def faults_after(history: str, losses: int, seed: int) -> list[str]:
-    """Play a history on a new site; return what does not hold after it."""
+    """Play a history on a new site; return the violated invariants."""
     site = Site(random.Random(seed), losses=losses)
     site.begin()
     try:
@@ -313,7 +317,7 @@
 
 
 def time_without_leader(history: str, seed: int) -> float:
-    """Return for how many seconds nobody leads in 3 s after a history."""
+    """Return the seconds without a leader in the 3 s after a history."""
     site = Site(random.Random(seed))
     site.begin()
     for step in history.split("; "):
@@ -326,10 +330,10 @@
 
 
 def draw(seed: int) -> tuple[int, str]:
-    """Return losses to be borne at once, and a history within them.
+    """Return the failures to tolerate at once, and a random history.
 
-    Losses come one after the other; each has the promised time, and where a
-    VM is back later also that, before the next one.
+    Failures follow one after the other. Before the next one pass the recovery
+    time and the time until the VM returns.
     """
     rng = random.Random(seed)
     losses = rng.choice((1, 1, 1, 2))
@@ -341,22 +345,23 @@
 
 
 def history_of(events: list[tuple], losses: int) -> str:
-    """Return the history of drawn events, with the promised time after each.
+    """Return the history of generated events, with the recovery time after each.
 
-    An event is a kind, who is hit (`leader` or not), how many at once up to
-    `losses`, for how long, and how much more than the promised time passes.
+    An event is a kind, whether it hits the leader, how many replicas it hits at
+    once (up to `losses`), for how long, and how much time passes in addition to
+    the recovery time.
     """
     spare = list(NAMES[2 * losses + 1 :])
     steps = []
     for kind, hits_leader, count, away_s, more_s in events:
-        # Whoever leads goes last, as there is no leader to name after it.
-        whom = ["follower"] * min(count, losses)
+        # The leader is hit last: afterwards there is no leader to select.
+        targets = ["follower"] * min(count, losses)
         if hits_leader:
-            whom[-1] = "leader"
-        if kind in ("gone", "stopped") and len(spare) < len(whom):
+            targets[-1] = "leader"
+        if kind in ("gone", "stopped") and len(spare) < len(targets):
             kind = "wiped"
-        steps += steps_of(kind, whom, away_s, spare)
-        back_s = PROMISED_S + more_s
+        steps += steps_of(kind, targets, away_s, spare)
+        back_s = RECOVERY_S + more_s
         if kind not in ("gone", "stopped"):
             back_s += away_s
         steps.append(f"{back_s:.1f} s")
@@ -364,42 +369,44 @@
 
 
 def steps_of(
-    kind: str, whom: list[str], away_s: float, spare: list[str]
+    kind: str, targets: list[str], away_s: float, spare: list[str]
 ) -> list[str]:
-    """Return the steps of one event, without the time after it."""
+    """Return the steps of one event, without the wait after it."""
     if kind == "all restarted":
         return [f"all restarted for {away_s:.1f} s"]
     if kind == "wiped, rest restarted":
-        wipes = [f"{who} wiped for {away_s:.1f} s" for who in whom]
+        wipes = [f"{who} wiped for {away_s:.1f} s" for who in targets]
         return [*wipes, f"rest restarted for {away_s:.1f} s"]
     if kind == "cut in a storm":
-        cuts = [f"{who} cut for {away_s:.1f} s" for who in whom]
+        cuts = [f"{who} cut for {away_s:.1f} s" for who in targets]
         return [f"all storm for {away_s + 1.0:.1f} s", *cuts]
     if kind == "gone":
-        new = [f"{spare.pop()} added" for _ in whom]
-        return [*(f"{who} gone" for who in whom), f"{away_s:.1f} s", *new]
+        new = [f"{spare.pop()} added" for _ in targets]
+        return [*(f"{who} gone" for who in targets), f"{away_s:.1f} s", *new]
     if kind == "stopped":
-        new = [f"{spare.pop()} added" for _ in whom]
-        # One after the other, as a platform does that plans its work.
-        stops = [step for who in whom for step in (f"{who} stopped", "1.0 s")]
+        new = [f"{spare.pop()} added" for _ in targets]
+        # One after the other, as in a planned replacement by a platform.
+        stops = [
+            step for who in targets for step in (f"{who} stopped", "1.0 s")
+        ]
         return [*new, f"{away_s:.1f} s", *stops]
-    return [f"{who} {kind} for {away_s:.1f} s" for who in whom]
+    return [f"{who} {kind} for {away_s:.1f} s" for who in targets]
 
 
 def draw_loss(rng: random.Random, spare: list[str]) -> list[str]:
-    """Return the steps of one loss and of the time after it."""
+    """Return the steps of one random failure and the wait after it."""
     who = rng.choice(("leader", "follower"))
     kinds = ["wiped", "restarted", "frozen"]
     if spare:
         kinds += ["gone", "planned"]
     kind = rng.choice(kinds)
     away_s = round(rng.uniform(0.3, 4.0), 1)
-    calm_s = round(PROMISED_S + rng.uniform(0.0, 2.0), 1)
+    recovery_s = round(RECOVERY_S + rng.uniform(0.0, 2.0), 1)
     if kind == "gone":
         new = spare.pop()
-        return [f"{who} gone", f"{away_s} s", f"{new} added", f"{calm_s} s"]
+        return [f"{who} gone", f"{away_s} s", f"{new} added", f"{recovery_s} s"]
     if kind == "planned":
         new = spare.pop()
-        return [f"{new} added", f"{away_s} s", f"{who} gone", f"{calm_s} s"]
-    back_s = round(away_s + calm_s, 1)
+        return [f"{new} added", f"{away_s} s", f"{who} gone", f"{recovery_s} s"]
+    back_s = round(away_s + recovery_s, 1)
     return [f"{who} {kind} for {away_s} s", f"{back_s} s"]
--- a/features/support/survivors.py
+++ b/features/support/survivors.py
@@ -1,4 +1,4 @@
-"""Two of three voters that have to elect a leader, in virtual time."""
+"""Elections by two of three voters, in virtual time."""
 
 import itertools
 import random
@@ -18,14 +18,14 @@
 TERMS = (5, 6, 7)
 # Term and index of the last entry.
 LOGS = ((4, 12), (5, 10), (5, 11))
-# Seconds since a leader was heard; None for a replica that has just started.
+# Seconds since the last leader contact; None for a replica that just started.
 CONTACTS = (0.0, 9.0, None)
 
 
 def survivor(
     name: str, term: int, log_end: tuple[int, int], contact: float | None
 ) -> raft_lib.Raft:
-    """Return one of three replicas with a state of its own."""
+    """Return one of three voters with the given term, log end and contact."""
     log = log_lib.Log()
     log.append(
         log_lib.Entry(
@@ -57,7 +57,7 @@
 
 
 def time_to_lead(rafts: list[raft_lib.Raft], most_s: float) -> float | None:
-    """Let two replicas exchange messages; return when one leads."""
+    """Return the seconds until one of the replicas leads, None if too late."""
     now = BEGIN
     mail: list = []
     while now < BEGIN + most_s:
@@ -76,7 +76,7 @@
 
 
 def stuck_pairs(most_s: float) -> list[tuple]:
-    """Return the pairs of states in which no leader is elected in time."""
+    """Return the pairs of voter states from which no leader is elected."""
     states = list(itertools.product(TERMS, LOGS, CONTACTS))
     return [
         pair
--- a/src/_coltsfootroad/control/membership.py
+++ b/src/_coltsfootroad/control/membership.py
@@ -58,7 +58,7 @@
         return (self.required_voters - 1) // 2
 
     def is_complete(self, current: replicas.ReplicaSet) -> bool:
-        """Return whether a quorum is large enough to survive `max_failures`."""
+        """Return whether data on a quorum survives `max_failures` failures."""
         return len(current.voters) >= self.required_voters
 
     def join_refusal(
@@ -217,7 +217,7 @@
 def longest_unresponsive(
     candidates: tuple[replicas.Replica, ...], reply_ages: dict[str, float]
 ) -> str:
-    """Return the replica with the oldest last reply, empty if none is known."""
+    """Return the identity with the oldest last reply, empty if none."""
     known = [r.identity for r in candidates if r.identity in reply_ages]
     return max(known, key=reply_ages.__getitem__, default="")
 
--- a/src/_coltsfootroad/control/node.py
+++ b/src/_coltsfootroad/control/node.py
@@ -495,7 +495,7 @@
     def leave(
         self, message: messages.LeaveReplica, reply: Reply, now: float
     ) -> None:
-        """Remove a voter that is stopping, if the fault tolerance requires."""
+        """Remove a voter that is stopping, unless it is to be kept."""
         change = self.membership.plan_leave(
             message.replica,
             self.raft.replica_set,
--- a/src/_coltsfootroad/control/votermonitor.py
+++ b/src/_coltsfootroad/control/votermonitor.py
@@ -84,19 +84,19 @@
         raft = self.raft
         if self.is_uncertain(now):
             return quorum.QuorumView(failures_tolerated=None)
-        reply_ages, threshold_s = (
+        ages, threshold_s = (
             self.contact_ages(now),
             UNRESPONSIVE_WITHOUT_LEADER_S,
         )
         if raft.is_leader:
-            reply_ages, threshold_s = (
+            ages, threshold_s = (
                 self.reply_ages(now),
                 membership_lib.UNRESPONSIVE_AFTER_S,
             )
         voters = raft.replica_set.voter_identities()
         silent = {
             identity: round(age_s, 2) if age_s < 1e9 else None
-            for identity, age_s in reply_ages.items()
+            for identity, age_s in ages.items()
             if identity in voters and age_s >= threshold_s
         }
         lagging = {
