--- a/src/_coltsfootroad/control/node.py
+++ b/src/_coltsfootroad/control/node.py
@@ -1,4 +1,7 @@
-"""One replica: consensus, state, and while leading the hub; no sockets."""
+"""One replica of the control plane, without network I/O.
+
+Combines consensus, storage, the state machine, and the hub while leading.
+"""
 
 import collections
 from collections.abc import Callable
@@ -24,17 +27,17 @@
 from _coltsfootroad.control import retrylending
 from _coltsfootroad.control import state as state_lib
 from _coltsfootroad.control import storage as storage_lib
-from _coltsfootroad.control import voterwatch
+from _coltsfootroad.control import votermonitor
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import errors
 
-SNAPSHOT_EVERY = 4_096
-# The log has to stay far below the memory and disk of a small VM, and holds
-# complete versions of the routes.
+# Size of the log at which a snapshot is saved. The log holds complete versions
+# of the routes and has to stay far below the memory and disk of a small VM.
+SNAPSHOT_ENTRIES = 4_096
 SNAPSHOT_BYTES = 8 * 1024 * 1024
 FULL_DISK_RETRY_S = 1.0
-MAX_WAITING = 10_000
-# Faults that are kept until they are logged.
+MAX_PENDING_COMMANDS = 10_000
+# Maximum number of faults kept until they are logged.
 MAX_FAULTS = 100
 Reply = Callable[[object], None]
 Send = Callable[[str, peers.PeerMessage], None]
@@ -53,13 +56,13 @@
 
 
 @attrs.frozen
-class RefusedByFault:
-    """A command that could not be applied, or a call without an answer.
+class CallFault:
+    """An exception raised while a command was applied or a call answered.
 
     Attributes:
-        index: The command's entry, None for a call.
-        kind: Name of the message.
-        fault: The trace of the error.
+        index: Index of the command's log entry, None for a call.
+        kind: Class name of the message.
+        fault: Traceback of the exception.
     """
 
     index: int | None
@@ -68,8 +71,13 @@
 
 
 @attrs.define
-class Waiter:
-    """Somebody who waits for a proposed command to be applied."""
+class PendingCommand:
+    """A proposed command whose reply is sent once it is applied.
+
+    Attributes:
+        term: Term in which it was proposed.
+        reply: Called once with the reply.
+    """
 
     term: int
     reply: Reply
@@ -77,38 +85,54 @@
 
 @attrs.define
 class ControlNode:
-    """Runs one replica; the shell gives it messages, calls and time.
+    """Runs one replica; the caller passes in messages, calls and the time.
 
     Attributes:
-        replica: Who this is.
-        storage: Its disk.
-        send: Sends a message to another replica; may lose it.
-        wall: Returns unix seconds, for what must outlive processes.
+        replica: Name, disk and address of this replica.
+        storage: Its durable storage.
+        send: Sends a message to another replica, which may be lost.
+        wall_clock: Returns unix seconds, for times that outlive a process.
+        rng: Randomizes election timeouts.
+        started_at: When the process started.
+        raft: Consensus state.
+        state: State machine that committed commands are applied to.
+        hub: Live state of the fleet, only while leading.
+        mirror: Copy of the leader's hub, from which a new leader's hub starts.
+        pending_commands: Commands that wait to be applied, by log index.
+        pending_ready: The `Ready` that could not be stored on a full disk.
+        blocked_until: When a full disk is tried again.
+        snapshot_due_at: When a snapshot that failed is tried again.
+        syncs: Number of syncs, for the metrics.
+        is_processing: Whether `process` is running.
+        log_bytes: Size of the commands applied since the last snapshot.
+        faults: Faults that are not logged yet.
+        voter_monitor: Availability of the other voters.
+        change_reason: Reason of this leader's last membership change, for the
+            log.
+        membership: Plans membership changes.
     """
 
     replica: replicas.Replica
     storage: storage_lib.Storage
     send: Send
-    wall: Callable[[], float]
+    wall_clock: Callable[[], float]
     rng: random.Random
     started_at: float = 0.0
     raft: raft_lib.Raft = attrs.field(init=False)
     state: state_lib.ControlState = attrs.field(init=False)
     hub: hub_lib.Hub | None = None
-    # What it knows while another replica leads, and what it begins with.
     mirror: mirror_lib.Mirror = attrs.field()
-    waiters: dict[int, Waiter] = attrs.Factory(dict)
-    pending: list[ready_lib.Ready] = attrs.Factory(list)
+    pending_commands: dict[int, PendingCommand] = attrs.Factory(dict)
+    pending_ready: list[ready_lib.Ready] = attrs.Factory(list)
     blocked_until: float = 0.0
     snapshot_due_at: float = 0.0
     syncs: int = 0
-    in_process: bool = False
+    is_processing: bool = False
     log_bytes: int = 0
-    faults: collections.deque[RefusedByFault] = attrs.field(
+    faults: collections.deque[CallFault] = attrs.field(
         factory=lambda: collections.deque(maxlen=MAX_FAULTS)
     )
-    watch: voterwatch.VoterWatch = attrs.field(init=False)
-    # Why this replica, as leader, changed the set last; for the log.
+    voter_monitor: votermonitor.VoterMonitor = attrs.field(init=False)
     change_reason: str = ""
     membership: membership_lib.Membership = attrs.Factory(
         membership_lib.Membership
@@ -134,17 +158,20 @@
             reader=self.storage,
             started_at=self.started_at,
         )
-        self.watch = voterwatch.VoterWatch(self.raft)
+        self.voter_monitor = votermonitor.VoterMonitor(self.raft)
 
     # --- time and messages -----------------------------------------------
 
     @property
     def is_blocked(self) -> bool:
-        """Return whether a full disk keeps this replica from acting."""
-        return bool(self.pending)
+        """Return whether this replica is waiting for space on its disk."""
+        return bool(self.pending_ready)
 
     def bootstrap(self, now: float) -> bool:
-        """Become the only voter of a new system; only on an empty disk."""
+        """Create a new system with this replica as its only voter.
+
+        Returns False, without a change, if the storage is not empty.
+        """
         if self.raft.log.last_index or self.raft.term:
             return False
         entry = log_lib.Entry(
@@ -155,59 +182,59 @@
         )
         self.raft.log.append(entry)
         self.raft.ready.entries.append(entry)
-        self.raft.timer.stand_at_once(now)
+        self.raft.timer.expire_now(now)
         self.tick(now)
         return True
 
     def tick(self, now: float) -> None:
-        """Run the timers."""
+        """Run the Raft timers and plan membership changes."""
         if not self.is_blocked:
             self.raft.tick(now)
-            self.tend_replicas(now)
+            self.update_membership(now)
             self.convict_late(now)
         self.process(now)
 
     def next_wake(self) -> float:
-        """Return when `tick` is wanted next."""
+        """Return when `tick` is due next."""
         return self.blocked_until if self.is_blocked else self.raft.next_wake()
 
     def on_peer(self, message: peers.PeerMessage, now: float) -> None:
-        """Take a message from another replica."""
+        """Handle a message from another replica."""
         if not self.is_blocked:
             self.raft.step(message, now)
             self.process(now)
 
     def process(self, now: float) -> None:
-        """Store, sync, send and apply until there is nothing to do."""
-        if self.in_process:
-            # A reply made while applying may lead to a call; the loop
-            # below picks up what it proposed.
+        """Store, sync, send and apply until there is no more work."""
+        if self.is_processing:
+            # A reply during `apply` may trigger a call. The running loop
+            # processes the command that it proposes.
             return
-        self.in_process = True
+        self.is_processing = True
         try:
-            while self.process_one(now):
+            while self.process_next(now):
                 pass
         finally:
-            self.in_process = False
+            self.is_processing = False
         self.update_hub(now)
 
-    def process_one(self, now: float) -> bool:
-        """Carry out one `Ready`; return whether there may be another."""
+    def process_next(self, now: float) -> bool:
+        """Carry out one `Ready`; return whether there may be more work."""
         self.raft.flush_appends(now)
-        if not self.pending:
+        if not self.pending_ready:
             ready = self.raft.take_ready()
             if ready.is_empty():
                 return False
-            self.pending.append(ready)
+            self.pending_ready.append(ready)
         elif now < self.blocked_until:
             return False
-        ready = self.pending[0]
+        ready = self.pending_ready[0]
         if not self.persist(ready):
             self.blocked_until = now + FULL_DISK_RETRY_S
             return False
-        self.pending.clear()
+        self.pending_ready.clear()
         if ready.entries:
-            self.raft.synced(ready.entries[-1].index, now)
+            self.raft.on_synced(ready.entries[-1].index, now)
         for outgoing in ready.messages:
             self.send(outgoing.to, outgoing.message)
         for entry in ready.committed:
@@ -216,7 +243,7 @@
         return True
 
     def persist(self, ready: ready_lib.Ready) -> bool:
-        """Store and sync; return False when the disk is full."""
+        """Store and sync a `Ready`; return False if the disk is full."""
         if not ready.must_sync():
             return True
         self.syncs += 1
@@ -238,7 +265,7 @@
         return self.storage.store(batch).is_ok()
 
     def apply(self, entry: log_lib.Entry) -> None:
-        """Apply a committed entry and answer whoever waits for it."""
+        """Apply a committed entry and reply to its pending command."""
         self.log_bytes += len(entry.data)
         answer: object = outcomes.Done()
         if entry.kind is log_lib.EntryKind.COMMAND:
@@ -246,45 +273,46 @@
             if command.is_error():
                 raise errors.BrokenInvariantError(command.error.message)
             answer = self.apply_command(command.ok, entry)
-        waiter = self.waiters.pop(entry.index, None)
-        if waiter is None:
+        pending = self.pending_commands.pop(entry.index, None)
+        if pending is None:
             return
-        if waiter.term == entry.term:
-            waiter.reply(answer)
+        if pending.term == entry.term:
+            pending.reply(answer)
         else:
-            waiter.reply(unavailable("another leader took over"))
+            pending.reply(unavailable("another leader took over"))
 
     def apply_command(self, command: object, entry: log_lib.Entry) -> object:
-        """Apply a command; one that fails is skipped by every replica.
+        """Apply a command; skip it on an exception, as every replica does.
 
-        Otherwise it would end each replica that applies it, again after each
-        start.
+        Otherwise it would terminate each replica that applies it, and again
+        after each restart.
         """
         try:
             return self.state.apply(command, entry.at)
         except errors.BrokenInvariantError:
             raise
         except Exception:  # noqa: BLE001
-            return self.refuse_by_fault(command, entry.index)
+            return self.refuse_after_fault(command, entry.index)
 
     def answer_read(self, message: object, now: float) -> object:
-        """Answer a call that changes nothing durable; refuse it on a fault.
+        """Answer a call that changes no durable state.
 
-        Otherwise a caller would end each replica that leads in turn.
+        Refuses the call on an exception. Otherwise a retried call would
+        terminate one leader after another.
         """
         try:
             return reads.answer(self, message, now)
         except errors.BrokenInvariantError:
             raise
         except Exception:  # noqa: BLE001
-            return self.refuse_by_fault(message, None)
+            return self.refuse_after_fault(message, None)
 
-    def refuse_by_fault(
+    def refuse_after_fault(
         self, message: object, index: int | None
     ) -> outcomes.Refused:
-        """Keep the present error for the log, and refuse as internal."""
+        """Record the current exception for the log; return the refusal."""
         name = type(message).__name__
-        self.faults.append(RefusedByFault(index, name, traceback.format_exc()))
+        self.faults.append(CallFault(index, name, traceback.format_exc()))
         return outcomes.Refused(
             failure=errors.Failure(
                 errors.ErrorCode.INTERNAL,
@@ -293,10 +321,13 @@
         )
 
     def maybe_snapshot(self, now: float) -> None:
-        """Save a snapshot when the log has grown long."""
+        """Save a snapshot and compact the log if it has grown too large."""
         raft = self.raft
-        grown = raft.applied - raft.log.snapshot.index
-        if grown < SNAPSHOT_EVERY and self.log_bytes < SNAPSHOT_BYTES:
+        applied_entries = raft.applied - raft.log.snapshot.index
+        if (
+            applied_entries < SNAPSHOT_ENTRIES
+            and self.log_bytes < SNAPSHOT_BYTES
+        ):
             return
         if now < self.snapshot_due_at:
             return
@@ -313,27 +344,27 @@
         saved = self.storage.save_snapshot(meta, data, raft.hard_state, stored)
         if saved.is_ok():
             self.log_bytes = 0
-            raft.compacted(meta)
+            raft.compact_log(meta)
         else:
             self.snapshot_due_at = now + FULL_DISK_RETRY_S
 
     def update_hub(self, now: float) -> None:
-        """Keep a hub exactly while leading."""
+        """Create or drop the hub as this replica starts or stops leading."""
         ready = self.raft.is_leader and (
-            self.raft.applied >= self.raft.term_start
+            self.raft.applied >= self.raft.term_start_index
         )
         if ready and self.hub is None:
-            self.hub = self.take_over(now)
+            self.hub = self.create_hub(now)
         elif ready:
             self.hub.publish_quarantine(now)
         elif not ready and self.hub is not None:
             self.mirror.step_down(self.hub.heard_since, now)
             self.hub = None
-        if not self.raft.is_leader and self.waiters:
-            self.fail_waiters()
+        if not self.raft.is_leader and self.pending_commands:
+            self.fail_pending_commands()
 
-    def take_over(self, now: float) -> hub_lib.Hub:
-        """Return the hub of a new leader, which goes on from a good copy."""
+    def create_hub(self, now: float) -> hub_lib.Hub:
+        """Return the hub of a new leader, based on its mirror if current."""
         heard_since = self.mirror.heard_since
         if not self.mirror.is_good(now):
             self.mirror.book.clear()
@@ -348,16 +379,16 @@
         hub.take_relay(self.mirror.relay, hub_lib.NEVER)
         return hub
 
-    def fail_waiters(self) -> None:
-        """Tell those who wait that the outcome is not known here."""
-        waiters, self.waiters = self.waiters, {}
-        for waiter in waiters.values():
-            waiter.reply(unavailable("this replica stopped leading"))
+    def fail_pending_commands(self) -> None:
+        """Reply to all pending commands that their outcome is unknown."""
+        pending_commands, self.pending_commands = self.pending_commands, {}
+        for pending in pending_commands.values():
+            pending.reply(unavailable("this replica stopped leading"))
 
     # --- calls -----------------------------------------------------------
 
     def call(self, message: object, now: float, reply: Reply) -> None:
-        """Carry out a call; `reply` is called once, now or later."""
+        """Handle a call; `reply` is called once, now or later."""
         if isinstance(message, messages.ReplicaHello):
             reply(self.info())
         elif isinstance(message, COMMANDS):
@@ -380,60 +411,60 @@
     def take_crashes(
         self, report: crashreports.ReportCrashes, reply: Reply, now: float
     ) -> None:
-        """Take a gateway's report of crashes and replicate what follows.
+        """Handle a gateway's crash report and propose resulting quarantines.
 
-        A conviction that cannot be replicated now follows again from the next
-        report.
+        A quarantine that cannot be replicated now is proposed again with the
+        next report.
         """
         for command in self.hub.take_crashes(report, now):
-            self.propose(command, now, ignore_reply)
+            self.propose(command, now, discard_reply)
         reply(outcomes.Done())
 
     def convict_late(self, now: float) -> None:
-        """Replicate what crashes prove some time after their reports."""
+        """Propose quarantines that become due some time after a report."""
         if self.hub is None or not self.raft.has_lease(now):
             return
         for command in self.hub.convict_late(now):
-            self.propose(command, now, ignore_reply)
+            self.propose(command, now, discard_reply)
 
     def propose(self, command: object, now: float, reply: Reply) -> None:
-        """Replicate a command; the reply comes once it is applied."""
+        """Propose a command; reply once it is applied."""
         if not self.membership.is_complete(self.raft.replica_set):
             reply(unavailable("the replicas have not all joined yet"))
             return
         if self.is_blocked:
             reply(unavailable("the disk of the leader is full"))
             return
-        if len(self.waiters) >= MAX_WAITING:
+        if len(self.pending_commands) >= MAX_PENDING_COMMANDS:
             reply(unavailable("too many commands wait for the disk"))
             return
         index = self.raft.propose(
             log_lib.EntryKind.COMMAND,
             commandlog.pack(command),
-            self.wall(),
+            self.wall_clock(),
             now,
         )
         if index is None:
             reply(outcomes.NotLeader(hint=self.leader_address()))
             return
-        # The shell calls `process` once per turn of the loop, so that
-        # commands that arrive together share one sync.
-        self.waiters[index] = Waiter(self.raft.term, reply)
+        # The caller runs `process` once per iteration of the event loop, so
+        # that commands that arrive together share one sync.
+        self.pending_commands[index] = PendingCommand(self.raft.term, reply)
 
     def change_replicas(
         self, message: messages.ChangeReplicas, now: float, reply: Reply
     ) -> None:
-        """Change the set of replicas, if nothing speaks against it."""
+        """Propose a membership change, or refuse an invalid one."""
         current = self.raft.replica_set
-        wanted = membership_lib.wanted_set(current, message)
-        if wanted.is_error():
-            reply(outcomes.Refused(failure=wanted.error))
-        elif wanted.ok == current:
+        target_set = membership_lib.requested_set(current, message)
+        if target_set.is_error():
+            reply(outcomes.Refused(failure=target_set.error))
+        elif target_set.ok == current:
             reply(outcomes.Done())
-        elif self.raft.change_replicas(wanted.ok, now):
-            self.change_reason = message.reason or "asked for by an operator"
+        elif self.raft.change_replicas(target_set.ok, now):
+            self.change_reason = message.reason or "requested by an operator"
             index = self.raft.log.last_index
-            self.waiters[index] = Waiter(self.raft.term, reply)
+            self.pending_commands[index] = PendingCommand(self.raft.term, reply)
             self.process(now)
         else:
             reply(
@@ -446,16 +477,16 @@
     def join(
         self, message: messages.JoinReplica, reply: Reply, now: float
     ) -> None:
-        """Let a replica learn; it gets a vote once it has caught up."""
+        """Add a replica as a learner, which is promoted once it caught up."""
         current = self.raft.replica_set
-        fault = self.membership.unfit(
-            message.replica, current, self.watch.silences(now)
+        reason = self.membership.join_refusal(
+            message.replica, current, self.voter_monitor.reply_ages(now)
         )
-        if fault:
-            failure = errors.Failure(errors.ErrorCode.BAD_REQUEST, fault)
+        if reason:
+            failure = errors.Failure(errors.ErrorCode.BAD_REQUEST, reason)
             reply(outcomes.Refused(failure=failure))
             return
-        change = self.membership.to_learn(message.replica, current)
+        change = self.membership.plan_learner(message.replica, current)
         if change is None:
             reply(outcomes.Done())
         else:
@@ -464,48 +495,50 @@
     def leave(
         self, message: messages.LeaveReplica, reply: Reply, now: float
     ) -> None:
-        """Take the vote of a replica that stops, where it can be spared."""
-        change = self.membership.to_leave(
-            message.replica, self.raft.replica_set, self.watch.silences(now)
+        """Remove a voter that is stopping, unless it is to be kept."""
+        change = self.membership.plan_leave(
+            message.replica,
+            self.raft.replica_set,
+            self.voter_monitor.reply_ages(now),
         )
         if change is None:
             reply(outcomes.Done())
         else:
             self.change_replicas(change, now, reply)
 
-    def hand_over(self, now: float) -> None:
-        """Stop leading, if this replica does, in favour of another one."""
-        if self.raft.others() and not self.is_blocked:
-            self.raft.hand_over(now)
+    def transfer_leadership(self, now: float) -> None:
+        """Transfer the leadership to another replica, if this one leads."""
+        if self.raft.peer_identities() and not self.is_blocked:
+            self.raft.transfer_leadership(now)
             self.process(now)
 
-    def tend_replicas(self, now: float) -> None:
-        """As leader, let learners vote and take out who has fallen silent."""
-        self.watch.tick(now)
+    def update_membership(self, now: float) -> None:
+        """As leader, promote learners and remove unresponsive replicas."""
+        self.voter_monitor.tick(now)
         current = self.raft.replica_set
         if not self.raft.has_lease(now) or current.is_joint:
             return
-        silences = self.watch.silences(now)
+        reply_ages = self.voter_monitor.reply_ages(now)
         caught_up = {
             learner.identity
             for learner in current.learners
             if self.raft.has_caught_up(learner.identity)
         }
-        change = self.membership.to_promote(current, silences, caught_up)
+        change = self.membership.plan_promotion(current, reply_ages, caught_up)
         if change is None:
-            change = self.membership.to_remove(current, silences)
+            change = self.membership.plan_removal(current, reply_ages)
         if change is not None:
-            self.change_replicas(change, now, ignore_reply)
+            self.change_replicas(change, now, discard_reply)
 
-    # --- facts -----------------------------------------------------------
+    # --- state -----------------------------------------------------------
 
     def replica_addresses(self) -> tuple[str, ...]:
         """Return the addresses of all replicas."""
-        known = self.raft.replica_set.everyone().values()
-        return tuple(replica.address for replica in known)
+        members = self.raft.replica_set.by_identity().values()
+        return tuple(replica.address for replica in members)
 
     def info(self) -> messages.ReplicaInfo:
-        """Return who this is and where it stands."""
+        """Return the identity, role and log position of this replica."""
         return messages.ReplicaInfo(
             replica=self.replica,
             role=self.raft.role.value,
@@ -517,17 +550,17 @@
         )
 
     def leader_address(self) -> str:
-        """Return the address of the leader as far as it is known."""
-        known = self.raft.replica_set.everyone().get(self.raft.leader)
-        return known.address if known is not None else ""
+        """Return the address of the known leader, empty for none."""
+        leader = self.raft.replica_set.by_identity().get(self.raft.leader)
+        return leader.address if leader is not None else ""
 
 
-def ignore_reply(_: object) -> None:
-    """Drop an answer that nobody waits for; the step is tried again."""
+def discard_reply(_: object) -> None:
+    """Ignore the reply to a command that is proposed again on failure."""
 
 
 def unavailable(reason: str) -> outcomes.Refused:
-    """Return the refusal of a call that may be tried again."""
+    """Return the refusal of a call that may be retried."""
     return outcomes.Refused(
         failure=errors.Failure(
             errors.ErrorCode.UNAVAILABLE, reason, errors.Ran.UNKNOWN, 0.5
--- a/src/_coltsfootroad/control/progress.py
+++ b/src/_coltsfootroad/control/progress.py
@@ -1,10 +1,10 @@
 """Replication progress of a follower, as the leader tracks it.
 
-Entries go out only to a follower whose log is known to match up to the entry
-before them. Until then empty appends probe for that entry, one per response or
-heartbeat, so a search costs no bulk. Afterwards entries are pipelined within a
-window, and are sent again after growing pauses: a log of megabytes must not
-fill the leader's link and delay heartbeats.
+Entries are sent only to a follower whose log is known to match up to the entry
+before them. Until then empty appends probe for that entry, one per reply or
+heartbeat, so the search transfers no entries. Afterwards entries are pipelined
+within a window and resent with exponential backoff: a log of several megabytes
+must not saturate the leader's link and delay heartbeats.
 """
 
 import collections
@@ -14,29 +14,29 @@
 
 from _coltsfootroad.control import log as log_lib
 
-# Bytes of entries, or of a snapshot, that may be under way to one replica: a
-# link of 10 Mbit/s carries them in a quarter of a leader's lease.
+# Bytes of entries or of a snapshot that may be in flight to one replica. A link
+# of 10 Mbit/s transfers them in a quarter of a leader lease.
 WINDOW_BYTES = 128 * 1024
-# Most bytes of one message, so that a window holds several.
+# Maximum size of one message, so that a window holds several.
 MESSAGE_BYTES = 64 * 1024
-# Without an answer that takes it further, a replica is sent the same again
-# after this time; the time doubles with each repetition. Messages arrive in
-# order, so a loss mostly shows sooner, by an answer that does not fit.
+# Without a reply that shows progress, in-flight data is resent after this time,
+# which doubles with each resend. Messages arrive in order, so most losses are
+# found sooner, by a rejected append.
 RESEND_MIN_S = 0.6
 RESEND_MAX_S = 4.8
 NEVER = float("-inf")
 
 
 @attrs.frozen
-class Batch:
-    """Entries that were sent in one message: the last index, and bytes."""
+class InflightBatch:
+    """Last index and size in bytes of the entries of one in-flight message."""
 
     last_index: int
     size: int
 
 
 class State(enum.Enum):
-    """How a follower is sent entries."""
+    """Replication state of a follower."""
 
     PROBE = "probe"
     REPLICATE = "replicate"
@@ -44,21 +44,24 @@
 
 @attrs.define
 class Progress:
-    """Where another replica stands.
+    """Replication progress of one replica; the admin dump shows its fields.
 
     Attributes:
-        since: When the leader began to send it anything.
-        next_index: The entry to be sent next.
-        match: Up to here its log is the same.
-        state: Whether the end of the common log is known.
-        acked_at: When the newest message that it answered was sent.
-        heard_at: When an answer of it arrived.
-        current_at: When it last held all that was committed a heartbeat before.
-        snapshot: The snapshot that it is sent, None if it needs none.
-        snapshot_offset: How much of it has arrived.
-        batches: What is under way.
-        advanced_at: When it last got further, or got the first of `batches`.
-        resend_s: When what is under way counts as lost.
+        since: When the leader started to replicate to it.
+        next_index: Index of the next entry to send.
+        match: Index of the last entry known to match the leader's log.
+        state: Whether the end of the matching log is known.
+        acked_at: When the newest message that it replied to was sent.
+        heard_at: When its last reply arrived.
+        current_at: When it last held all entries that were committed at the
+            previous heartbeat.
+        snapshot: The snapshot that is being sent, None for none.
+        snapshot_offset: Bytes of the snapshot that have arrived.
+        batches: Entries in flight.
+        advanced_at: When it last made progress, or when the first of `batches`
+            was sent.
+        resend_s: Seconds without progress after which in-flight data is
+            resent.
     """
 
     since: float
@@ -70,32 +73,34 @@
     current_at: float = NEVER
     snapshot: log_lib.SnapshotMeta | None = None
     snapshot_offset: int = 0
-    batches: collections.deque[Batch] = attrs.Factory(collections.deque)
+    batches: collections.deque[InflightBatch] = attrs.Factory(collections.deque)
     advanced_at: float = NEVER
     resend_s: float = RESEND_MIN_S
 
     @property
-    def room(self) -> int:
-        """Return how many bytes of entries may be sent now."""
+    def available_bytes(self) -> int:
+        """Return how many bytes of entries the in-flight window allows now."""
         if self.state is State.PROBE:
             return 0
-        under_way = sum(batch.size for batch in self.batches)
-        return max(0, min(MESSAGE_BYTES, WINDOW_BYTES - under_way))
+        in_flight = sum(batch.size for batch in self.batches)
+        return max(0, min(MESSAGE_BYTES, WINDOW_BYTES - in_flight))
 
-    def note_sent(self, entries: tuple[log_lib.Entry, ...], now: float) -> None:
-        """Note entries that are sent."""
+    def record_sent(
+        self, entries: tuple[log_lib.Entry, ...], now: float
+    ) -> None:
+        """Record entries that are sent."""
         if not entries:
             return
         if not self.batches:
             self.advanced_at = now
         size = sum(len(e.data) + log_lib.ENTRY_OVERHEAD for e in entries)
-        self.batches.append(Batch(entries[-1].index, size))
+        self.batches.append(InflightBatch(entries[-1].index, size))
         self.next_index = entries[-1].index + 1
 
-    def note_match(self, match: int, now: float) -> None:
-        """Note up to where its log is the same."""
+    def record_match(self, match: int, now: float) -> None:
+        """Record the last matching index."""
         if match > self.match:
-            self.advance(now)
+            self.mark_progress(now)
             self.match = match
         if self.state is State.PROBE:
             self.state = State.REPLICATE
@@ -105,69 +110,70 @@
         self.next_index = max(self.next_index, self.match + 1)
         self.snapshot = None
 
-    def note_commit(self, commit: int, now: float) -> None:
-        """Note whether it holds what is committed."""
+    def record_commit(self, commit: int, now: float) -> None:
+        """Record whether it holds all entries up to a commit index."""
         if self.match >= commit:
             self.current_at = now
 
-    def note_rejected(self, prev_index: int, common_index: int) -> bool:
-        """Note an append that did not fit; return whether to probe at once.
+    def record_rejection(self, prev_index: int, common_index: int) -> bool:
+        """Record a rejected append; return whether to probe at once.
 
         Args:
-            prev_index: The entry that the append was to follow.
-            common_index: Last entry that both logs may have in common.
+            prev_index: Index of the entry before those of the append.
+            common_index: Last index at which both logs may match.
         """
         if self.state is State.REPLICATE:
-            # Messages were lost, or unsynced entries in a crash.
+            # Messages were lost, or the follower lost unsynced entries in a
+            # crash.
             if prev_index <= self.match:
                 return False
             self.probe_from_match()
             return True
         if prev_index != self.next_index - 1:
-            # Response to an earlier probe, or to a repetition of one.
+            # Reply to an earlier or repeated probe.
             return False
         earlier = self.next_index
         self.next_index = max(self.match, common_index) + 1
         return self.next_index < earlier
 
     def probe_from_match(self) -> None:
-        """Find out whether the follower still has what it acknowledged."""
+        """Probe whether the follower still holds the acknowledged entries."""
         self.state = State.PROBE
         self.batches.clear()
         self.next_index = self.match + 1
 
-    def note_received(self, offset: int, now: float) -> bool:
-        """Note how much of a snapshot arrived; return whether it is more."""
+    def record_snapshot_received(self, offset: int, now: float) -> bool:
+        """Record the received bytes of a snapshot; return whether they grew."""
         if offset <= self.snapshot_offset:
             return False
         self.snapshot_offset = offset
-        self.advance(now)
+        self.mark_progress(now)
         return True
 
-    def advance(self, now: float) -> None:
-        """Note that it got further."""
+    def mark_progress(self, now: float) -> None:
+        """Record progress and reset the resend timeout."""
         self.advanced_at = now
         self.resend_s = RESEND_MIN_S
 
-    def begin_snapshot(self, meta: log_lib.SnapshotMeta, now: float) -> bool:
-        """Return whether a piece of a snapshot is due: new, or sent again."""
+    def prepare_snapshot(self, meta: log_lib.SnapshotMeta, now: float) -> bool:
+        """Return whether a chunk of a snapshot is to be sent or resent."""
         if self.snapshot is None or self.snapshot.index != meta.index:
             self.snapshot = meta
             self.snapshot_offset = 0
             self.batches.clear()
-            self.advance(now)
+            self.mark_progress(now)
             return True
-        return self.expire(now)
+        return self.has_resend_timed_out(now)
 
-    def expire(self, now: float) -> bool:
-        """Return whether what is under way is to be sent again."""
+    def has_resend_timed_out(self, now: float) -> bool:
+        """Return whether to resend in-flight data, and double the timeout."""
         if now < self.advanced_at + self.resend_s:
             return False
         self.advanced_at = now
         self.resend_s = min(RESEND_MAX_S, 2 * self.resend_s)
         return True
 
-    def roll_back(self, now: float) -> None:
-        """Send again from where its log is the same, if that is due."""
-        if self.batches and self.expire(now):
+    def resend_if_timed_out(self, now: float) -> None:
+        """Probe again from the last match if in-flight entries timed out."""
+        if self.batches and self.has_resend_timed_out(now):
             self.probe_from_match()
