--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -72,7 +72,7 @@
         "no short prompt is sent away because of a queue",
         (
             SOURCES + "core/shedding.py",
-            "    if waiting <= share * places:",
+            "    if waiting <= share * slots:",
             "    if waiting >= 0:",
         ),
     ),
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -72,7 +72,7 @@
     for _ in range(ROUNDS.value):
         # As many changes as engines: nearly every kept state is out of date.
         for key in rng.sample(keys, min(count, len(keys))):
-            load.touch(key)
+            load.mark_changed(key)
         began = time.process_time()
         chooser.choose(SERVICE, prompt, set(), 10.0)
         spent += time.process_time() - began
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -16,7 +16,7 @@
 
 from _coltsfootroad.core import candidates
 from _coltsfootroad.core import endpointset
-from _coltsfootroad.core import patience
+from _coltsfootroad.core import failoverdelay
 from _coltsfootroad.core import registry
 from _coltsfootroad.core import routes
 from _coltsfootroad.core import shedding
@@ -82,7 +82,7 @@
         if not self.job.done or times[-1] > self.at + self.length.deadline_s:
             return 0.0
         gaps = numpy.diff([self.at, *times])
-        if gaps.max() > patience.caller_patience_s(self.route()):
+        if gaps.max() > failoverdelay.caller_timeout_s(self.route()):
             return 0.0
         late = times[0] - self.at > self.length.target_s
         late = late or (len(gaps) > 1 and gaps[1:].max() > self.length.gap_s)
@@ -238,9 +238,9 @@
             prompt_tokens=prompt.prompt_tokens,
             predicted_s=choice.predicted_s,
             target_s=prompt.target_s,
-            returned=arrival.tries > 0,
+            is_retry=arrival.tries > 0,
         )
-        again_s = shedding.come_back_s(
+        again_s = shedding.shed_retry_after_s(
             candidate, choice.late_waiting, choice.places, self.rng
         )
         if again_s is not None:
@@ -249,7 +249,7 @@
         arrival.parts = 1 + len(choice.helpers)
         job = arrival.job
         job.unread = arrival.parts
-        job.rank = urgency.of(
+        job.rank = urgency.engine_rank(
             arrival.route(), now - arrival.at, choice.predicted_s
         )
         late = job.rank == urgency.LATE_RANK
--- a/features/steps/batchengine_steps.py
+++ b/features/steps/batchengine_steps.py
@@ -155,13 +155,13 @@
         prompt_tokens=size,
         predicted_s=predicted,
         target_s=0.3,
-        returned=state == "comes back",
+        is_retry=state == "comes back",
     )
 
 
 @when("{waiting:d} late requests wait at {places:d} places")
 def late_wait(context, waiting, places):
-    context.again_s = shedding.come_back_s(
+    context.again_s = shedding.shed_retry_after_s(
         context.candidate, waiting, places, random.Random(1)
     )
 
@@ -169,7 +169,7 @@
 @then("the short prompt is {verdict}")
 def verdict_is(context, verdict):
     assert (context.again_s is not None) == (verdict == "sent away")
-    least, most = shedding.COME_BACK_S
+    least, most = shedding.RETRY_AFTER_RANGE_S
     assert context.again_s is None or least <= context.again_s <= most
 
 
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -102,14 +102,14 @@
         found = self.own_key(key)
         if found is not None:
             self.load.own[found].writing = True
-            self.load.touch(found)
+            self.load.mark_changed(found)
 
     def do_late(self, _place, key):
         """Note that own work's pauses matter no longer."""
         found = self.own_key(key)
         if found is not None:
             self.load.own[found].gap_target_s = 0.0
-            self.load.touch(found)
+            self.load.mark_changed(found)
 
     def do_remove(self, _place, key):
         """End own work."""
@@ -121,7 +121,7 @@
         """Take another gateway's summary."""
         gateway = "g1" if place % 2 else "g2"
         self.seqs[gateway] += 1
-        self.load.take(
+        self.load.apply_summary(
             workload.Summary(
                 gateway=gateway,
                 incarnation=1,
@@ -180,7 +180,7 @@
             wanted.setdefault(work.endpoint, {})[key] = work
         assert {n: at.works for n, at in index.loads.items()} == wanted
         late = {
-            name: {key for key, work in works.items() if work.waits_late}
+            name: {key for key, work in works.items() if work.is_late_waiting}
             for name, works in wanted.items()
         }
         assert index.late == {name: keys for name, keys in late.items() if keys}
--- a/features/steps/controlquarantine_steps.py
+++ b/features/steps/controlquarantine_steps.py
@@ -240,7 +240,7 @@
     site = context.site
     site.run_until(site.now + seconds)
     name = site.leader().name
-    context.asked_at = site.now
+    context.requested_at = site.now
     asked = [
         site.call(
             name,
@@ -266,7 +266,7 @@
     (entry,) = state.quarantine.entries.values()
     assert entry.trials == 1
     wall = context.site.leader().node.wall()
-    started = wall - (context.site.now - context.asked_at)
+    started = wall - (context.site.now - context.requested_at)
     assert abs(entry.trial_at - started - seconds) < 1.0, entry
 
 
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -515,7 +515,7 @@
     load = workload.Workload()
     for seq in (earlier, later):
         change = workload.Change(seq, f"e{seq}", age_ms=500)
-        result = load.take(told(seq, change), 10.0)
+        result = load.apply_summary(told(seq, change), 10.0)
     assert result == (taken == "taken")
     work = load.foreign["g"].works[earlier]
     assert work.sent_at == 9.5, work
@@ -524,7 +524,7 @@
 @then("a gateway that is silent for {seconds:g} s counts {count:d} pieces")
 def silent(context, seconds, count):
     load = workload.Workload()
-    load.take(told(1, workload.Change(1, "e")), 10.0)
+    load.apply_summary(told(1, workload.Change(1, "e")), 10.0)
     load.expire(10.0 + seconds)
     assert len(load.at_endpoint("e")) == count
 
@@ -541,7 +541,7 @@
             if k
         ]
         starts_anew = kind == "restart"
-        load.take(
+        load.apply_summary(
             told(
                 seq + 1,
                 *changes,
@@ -559,13 +559,13 @@
     load = workload.Workload()
     first = load.add(work_lib.Work(endpoint="a", sent_at=1.0))
     second = load.add(work_lib.Work(endpoint="b", sent_at=1.0))
-    told_first = load.take_changes(False, 2.0)
+    told_first = load.collect_changes(False, 2.0)
     assert [c.key for c in told_first] == [first, second]
     assert told_first[0].age_ms == 1000
-    assert load.take_changes(False, 2.0) == ()
+    assert load.collect_changes(False, 2.0) == ()
     load.remove(first)
-    assert load.take_changes(False, 2.0) == (workload.Change(first),)
-    assert [c.key for c in load.take_changes(True, 2.0)] == [second]
+    assert load.collect_changes(False, 2.0) == (workload.Change(first),)
+    assert [c.key for c in load.collect_changes(True, 2.0)] == [second]
 
 
 @then("{kind} failures {count:d} in a row make an endpoint {state}")
@@ -620,4 +620,4 @@
 @then("a request of aim {aim:g} s that waited {waited:g} s ranks {rank:d}")
 def ranks(context, aim, waited, rank):
     route = attrs.evolve(gatewaybed.config().routes[2], target_s=aim)
-    assert urgency.of(route, waited, 0.1) == rank
+    assert urgency.engine_rank(route, waited, 0.1) == rank
--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -175,7 +175,7 @@
             full=False,
             changes=(change,),
         )
-        context.gateway.load.take(summary, 0.0)
+        context.gateway.load.apply_summary(summary, 0.0)
 
 
 @then("it tells {count:d} others, that one {included}")
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -203,7 +203,7 @@
             self.endpoints.on_failure(NAME, 2.0, unreachable=True)
         self.load.add(work_lib.Work(endpoint=NAME, sent_at=2.0))
         told = workload.Change(1, NAME, age_ms=500)
-        self.load.take(
+        self.load.apply_summary(
             workload.Summary(
                 gateway="h", incarnation=1, seq=1, full=True, changes=(told,)
             ),
--- a/features/steps/retrybudget_steps.py
+++ b/features/steps/retrybudget_steps.py
@@ -35,7 +35,7 @@
     """Charge every retry that a gateway's budget holds."""
     budget = gateway.budget(SERVICE)
     now = clocks.boot_time()
-    share = gateway.floor_share.least(now)
+    share = gateway.slack_share.minimum(now)
     while retry := budget.reserve(share, now):
         budget.charge(retry, share, now)
     budget.sent = budget.refused = 0
--- a/features/steps/retryhistories_steps.py
+++ b/features/steps/retryhistories_steps.py
@@ -4,7 +4,7 @@
 from behave import then
 from behave import when
 
-from _coltsfootroad.core import settledshare
+from _coltsfootroad.core import minimumshare
 from features.support import mutants
 from features.support import retrydefects
 from features.support import retryhistories
@@ -56,7 +56,7 @@
 
 @given("a gateway that held a share of {shares} at {times} s")
 def held(context, shares, times):
-    context.share = settledshare.SettledShare(10.0, 4.0)
+    context.share = minimumshare.MinimumShare(10.0, 4.0)
     for share, at in zip(shares.split(), times.split(), strict=True):
         context.share.update(float(share), float(at), float(at))
 
@@ -66,7 +66,7 @@
     " {least:g}"
 )
 def settled(context, now, least):
-    found = context.share.least(now)
+    found = context.share.minimum(now)
     assert found == least, found
 
 
--- a/features/steps/startshare_steps.py
+++ b/features/steps/startshare_steps.py
@@ -8,7 +8,7 @@
 from behave import when
 
 from _coltsfootroad.core import endpointset
-from _coltsfootroad.core import startshare
+from _coltsfootroad.core import startuplimit
 from _coltsfootroad.core import work as work_lib
 from _coltsfootroad.core import workload
 from _coltsfootroad.gateway import engines as engines_lib
@@ -21,7 +21,7 @@
     "each of {gateways:d} gateways that know {places:d} places sends {prompts:d}"
 )
 def each_sends(context, gateways, places, prompts):
-    found = startshare.allowed(places, gateways)
+    found = startuplimit.max_prompts(places, gateways)
     assert found == prompts, found
 
 
@@ -49,8 +49,10 @@
             choice = chooser.choose(
                 choice_steps.SERVICE, choice_steps.prompt_of(5_000), set(), 10.0
             )
-            allowed = startshare.allowed(choice.places, context.gateways)
-            if load.own_prompts() >= allowed:
+            max_prompts = startuplimit.max_prompts(
+                choice.places, context.gateways
+            )
+            if load.count_own_prompts() >= max_prompts:
                 break
             name = choice.endpoint.name
             context.got[name] += 1
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -90,7 +90,7 @@
     weights = {"big": big, "small": small}
     while sum(context.got.values()) < tokens:
         chosen = context.queue.select(lambda _: True)
-        context.queue.dispatched(chosen, weights[chosen.workspace])
+        context.queue.on_dispatched(chosen, weights[chosen.workspace])
         context.got[chosen.workspace] += chosen.cost_tokens
 
 
@@ -118,7 +118,7 @@
 def check_turn(context, count):
     for number in range(count + 1):
         chosen = context.queue.select(lambda _: True)
-        context.queue.dispatched(chosen, 1)
+        context.queue.on_dispatched(chosen, 1)
         is_long = chosen.request_id.startswith("long")
         assert is_long == (number == count), number
 
--- a/features/support/gatewaybed.py
+++ b/features/support/gatewaybed.py
@@ -6,9 +6,9 @@
 
 import attrs
 
+from _coltsfootroad.core import minimumshare
 from _coltsfootroad.core import registry
 from _coltsfootroad.core import routes
-from _coltsfootroad.core import settledshare
 from _coltsfootroad.fakes import ports
 from _coltsfootroad.gateway import dialect
 from _coltsfootroad.gateway import server as server_lib
@@ -309,9 +309,9 @@
 
 def settle_share(gateway: server_lib.Gateway, share: float) -> None:
     """Let a gateway have held a share of the retries for long."""
-    floor = gateway.floor_share
+    floor = gateway.slack_share
     floor.proved_at = clocks.boot_time()
-    floor.held = collections.deque([settledshare.HeldShare(share)])
+    floor.held = collections.deque([minimumshare.ShareInterval(share)])
 
 
 class Bed:
--- a/features/support/mutants.py
+++ b/features/support/mutants.py
@@ -69,7 +69,7 @@
 Ran = errors.Ran
 
 
-@defect(REQUEST, Attempts, "attempt_failed")
+@defect(REQUEST, Attempts, "handle_failed_attempt")
 def retries_a_lost_charge(right):
     def wrong(self, flight, endpoint, fault, now):
         flight.may_have_run = False
@@ -123,7 +123,7 @@
     return lambda self, view, report, members, now: []
 
 
-@defect(REQUEST, Attempts, "free_parts")
+@defect(REQUEST, Attempts, "release_parts")
 def leaks_memory_of_failed_attempts(_):
     def wrong(self, flight, now, freed):
         flight.parts = ()
@@ -148,8 +148,8 @@
 
 @defect(REQUEST, freshness.Freshness, "confirm")
 def counts_freshness_from_the_answer(right):
-    def wrong(self, asked_at):
-        right(self, asked_at + 2.0)
+    def wrong(self, requested_at):
+        right(self, requested_at + 2.0)
 
     return wrong
 
@@ -219,7 +219,7 @@
 
 @defect(REQUEST, limits.LimitTable, "apply")
 def counts_leases_from_the_answer(right):
-    def wrong(self, shares_, asked_at, now):
+    def wrong(self, shares_, requested_at, now):
         right(self, shares_, now + 2.0, now)
 
     return wrong
--- a/features/support/retrydefects.py
+++ b/features/support/retrydefects.py
@@ -1,13 +1,13 @@
 """Deliberate defects of the fleet's retry budget; histories must catch each."""
 
 from _coltsfootroad.control import retrylending
+from _coltsfootroad.core import minimumshare
 from _coltsfootroad.core import retryloans
-from _coltsfootroad.core import settledshare
 from _coltsfootroad.core import windowbudget
 from features.support import mutants
 
 DEFECTS = {}
-Share = settledshare.SettledShare
+Share = minimumshare.MinimumShare
 
 
 @mutants.defect(DEFECTS, Share, "update")
@@ -21,7 +21,7 @@
     return wrong
 
 
-@mutants.defect(DEFECTS, Share, "least")
+@mutants.defect(DEFECTS, Share, "minimum")
 def share_of_the_newest_members(right):
     def wrong(self, now):
         right(self, now)
@@ -47,7 +47,7 @@
     return wrong
 
 
-@mutants.defect(DEFECTS, windowbudget, "RATIO_PART")
+@mutants.defect(DEFECTS, windowbudget, "GATEWAY_RATIO_SHARE")
 def each_window_earns_the_whole_ratio(right):
     return 2 * right
 
@@ -62,8 +62,8 @@
 
 @mutants.defect(DEFECTS, windowbudget.WindowBudget, "charge")
 def reserved_retries_are_sent_whenever(right):
-    def wrong(self, retry, floor_share, now):
-        return right(self, retry, floor_share, now) or True
+    def wrong(self, retry, slack_share, now):
+        return right(self, retry, slack_share, now) or True
 
     return wrong
 
--- a/features/support/retryhistories.py
+++ b/features/support/retryhistories.py
@@ -4,7 +4,7 @@
 import random
 
 from _coltsfootroad.control import retrylending
-from _coltsfootroad.core import settledshare
+from _coltsfootroad.core import minimumshare
 from features.support import retryworld
 
 COUNT = 9
@@ -250,7 +250,7 @@
     ]
     for gateway in gateways:
         gateway.seen_at = fleet.now
-        gateway.floor_share = settledshare.SettledShare(
+        gateway.slack_share = minimumshare.MinimumShare(
             1.0, 100.0, fleet.now, collections.deque([held(count)])
         )
         for _ in range(requests):
@@ -262,6 +262,6 @@
     return fleet, len(fleet.again)
 
 
-def held(count: int) -> settledshare.HeldShare:
+def held(count: int) -> minimumshare.ShareInterval:
     """Return the share of one of some gateways."""
-    return settledshare.HeldShare(1.0 / count)
+    return minimumshare.ShareInterval(1.0 / count)
--- a/features/support/retryworld.py
+++ b/features/support/retryworld.py
@@ -11,9 +11,9 @@
 from _coltsfootroad.control import retrylending
 from _coltsfootroad.core import addresses
 from _coltsfootroad.core import members
+from _coltsfootroad.core import minimumshare
 from _coltsfootroad.core import retryloans
 from _coltsfootroad.core import rotation as rotation_lib
-from _coltsfootroad.core import settledshare
 from _coltsfootroad.core import windowbudget
 
 RATIO = 0.2
@@ -92,10 +92,10 @@
     fleet: Fleet
     budget: windowbudget.WindowBudget = attrs.field(init=False)
     rotation: rotation_lib.Rotation = attrs.field(init=False)
-    floor_share: settledshare.SettledShare = attrs.field(init=False)
+    slack_share: minimumshare.MinimumShare = attrs.field(init=False)
     seen_at: float = attrs.field(init=False)
     until: float = 0.0
-    reserved: list[windowbudget.Retry] = attrs.Factory(list)
+    reserved: list[windowbudget.RetryReservation] = attrs.Factory(list)
 
     def __attrs_post_init__(self):
         self.start()
@@ -106,7 +106,7 @@
             RATIO, self.fleet.slack, WINDOW_S
         )
         self.rotation = rotation_lib.Rotation(members.MemberView())
-        self.floor_share = settledshare.SettledShare(
+        self.slack_share = minimumshare.MinimumShare(
             WINDOW_S + STALENESS_S + windowbudget.ARRIVAL_LAG_S, STALENESS_S
         )
         self.seen_at = float("-inf")
@@ -124,7 +124,7 @@
         view.learn(found, lost, False)
         share = self.rotation.limit_share(self.name)
         now = self.fleet.now
-        self.floor_share.update(share, now, now)
+        self.slack_share.update(share, now, now)
         self.seen_at = now
 
     @property
@@ -148,7 +148,7 @@
     def reserve(self) -> bool:
         """Hold a retry for a send; return whether the budget had one."""
         now = self.fleet.now
-        share = self.floor_share.least(now)
+        share = self.slack_share.minimum(now)
         retry = self.budget.reserve(share, now)
         if retry is None and self.borrow():
             retry = self.budget.reserve(share, now)
@@ -173,7 +173,7 @@
         )
         if fleet.rng.random() < fleet.lost_answers:
             return 0
-        until = fleet.now + retryloans.LOAN_S
+        until = fleet.now + retryloans.LOAN_LIFETIME_S
         self.budget.loans.add(answer.amount, until)
         return answer.amount
 
@@ -181,7 +181,7 @@
         """Send the newest retry that is held; return whether it was sent."""
         now = self.fleet.now
         retry = self.reserved.pop()
-        is_sent = self.budget.charge(retry, self.floor_share.least(now), now)
+        is_sent = self.budget.charge(retry, self.slack_share.minimum(now), now)
         self.fleet.again += [now] * is_sent
         return is_sent
 
--- a/src/_coltsfootroad/control/configstore.py
+++ b/src/_coltsfootroad/control/configstore.py
@@ -43,7 +43,7 @@
             if known.digest == digest:
                 return known.answer
             return self.refuse(
-                errors.ErrorCode.PATCH_REUSED,
+                errors.ErrorCode.PATCH_ID_REUSED,
                 f"patch id {command.patch_id!r} was used for another patch",
             )
         answer = self.apply(command)
--- a/src/_coltsfootroad/control/mirror.py
+++ b/src/_coltsfootroad/control/mirror.py
@@ -100,7 +100,7 @@
         self,
         question: watching.RelayWatch,
         news: watching.News,
-        asked_at: float,
+        requested_at: float,
         now: float,
     ) -> None:
         """Take a leader's answer to a question.
@@ -119,8 +119,8 @@
         if not self.book.epoch or news.registry_mark >= self.book.last_mark:
             self.book.take(news)
         if self.take_routes(question, news):
-            self.confirmed_at = max(self.confirmed_at, asked_at)
-            self.copied_at = max(self.copied_at, asked_at)
+            self.confirmed_at = max(self.confirmed_at, requested_at)
+            self.copied_at = max(self.copied_at, requested_at)
 
     def settle(
         self, question: watching.RelayWatch, news: watching.News
--- a/src/_coltsfootroad/control/retrylending.py
+++ b/src/_coltsfootroad/control/retrylending.py
@@ -155,5 +155,5 @@
 
 def hold_time_s(window_s: float) -> float:
     """Return for how long a loan counts."""
-    on_the_way_s = retryloans.LOAN_S + windowbudget.ARRIVAL_LAG_S
+    on_the_way_s = retryloans.LOAN_LIFETIME_S + windowbudget.ARRIVAL_LAG_S
     return window_s + on_the_way_s + CLOCK_MARGIN_S
--- a/src/_coltsfootroad/core/attempts.py
+++ b/src/_coltsfootroad/core/attempts.py
@@ -9,7 +9,7 @@
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import faults
 from _coltsfootroad.core import flights as flights_lib
-from _coltsfootroad.core import hosts
+from _coltsfootroad.core import interfaces
 from _coltsfootroad.core import request as request_lib
 from _coltsfootroad.core import retries
 
@@ -20,12 +20,12 @@
 
 
 @attrs.define
-class Attempts(hosts.Ending):
+class Attempts(interfaces.AttemptsInterface):
     """The part of the entry core from the first chunk to the end."""
 
-    core: hosts.AttemptHost
+    core: interfaces.AttemptContext
 
-    def note_progress(self, flight: flights_lib.Flight, now: float) -> None:
+    def record_progress(self, flight: flights_lib.Flight, now: float) -> None:
         """Learn from a chunk's timing and push the timeout back."""
         flight.progress_at = now
         self.core.flights.arm(flight, now + STREAM_IDLE_S)
@@ -42,19 +42,19 @@
             )
         if flight.first_token_at is None:
             flight.first_token_at = now
-            self.core.dispatcher.pump(flight.request.service, now)
+            self.core.dispatcher.dispatch_queued(flight.request.service, now)
 
     def emit(
         self, flight: flights_lib.Flight, chunk: request_lib.Chunk
     ) -> None:
         """Hand a piece to the caller and keep it for the claim."""
-        if flight.request.claims_key:
+        if flight.request.needs_claim:
             flight.answer_parts.append(chunk.data)
         self.core.out.append(
             actions.Emit(request_id=flight.request_id, chunk=chunk)
         )
 
-    def running(
+    def running_flight(
         self, request_id: str, attempt: int
     ) -> flights_lib.Flight | None:
         """Return a flight whose current attempt this is and still runs.
@@ -65,10 +65,10 @@
         flight = self.core.flights.get(request_id)
         if flight is None or flight.attempt != attempt:
             return None
-        running = flight.state is flights_lib.FlightState.RUNNING
-        return flight if running else None
+        is_running = flight.state is flights_lib.FlightState.RUNNING
+        return flight if is_running else None
 
-    def work_freed(
+    def release_work(
         self, endpoint: str, key: endpoints.WorkKey, now: float
     ) -> None:
         """Forget a piece of work whose memory is free."""
@@ -79,9 +79,9 @@
         view.remove_work(key, now)
         pool = self.core.pools[self.core.endpoint_service[endpoint]]
         pool.classify(view)
-        self.core.dispatcher.pump(pool.service, now)
+        self.core.dispatcher.dispatch_queued(pool.service, now)
 
-    def attempt_failed(
+    def handle_failed_attempt(
         self,
         flight: flights_lib.Flight,
         endpoint: str,
@@ -96,16 +96,18 @@
             outliers.on_failure(endpoint, now)
         nothing_ran = fault is not Fault.LOST and len(flight.parts) == 1
         if nothing_ran:
-            flight.may_have_run = flight.lost_before
+            flight.may_have_run = flight.had_lost_attempt
         else:
-            flight.lost_before = True
-        self.free_parts(flight, now, freed=nothing_ran)
+            flight.had_lost_attempt = True
+        self.release_parts(flight, now, freed=nothing_ran)
         if flight.request.non_idempotent and flight.may_have_run:
-            self.fail(flight, lost(endpoint), now)
+            self.fail(flight, endpoint_failed(endpoint), now)
             return
         exhausted = flight.attempt >= retries.MAX_ATTEMPTS
         if exhausted or not self.core.budget.take():
-            self.fail(flight, lost(endpoint, may_have_run(flight)), now)
+            self.fail(
+                flight, endpoint_failed(endpoint, may_have_run(flight)), now
+            )
             return
         self.core.counters.retries += 1
         if flight.stream.next_offset:
@@ -115,7 +117,7 @@
         pause = retries.backoff_s(flight.attempt, self.core.rng)
         self.core.flights.arm(flight, now + pause)
 
-    def free_parts(
+    def release_parts(
         self, flight: flights_lib.Flight, now: float, freed: bool
     ) -> None:
         """Free the memory of the current attempt on all its engines.
@@ -144,12 +146,12 @@
         now: float,
     ) -> None:
         """End a flight whose answer is whole."""
-        self.learn(flight, now)
+        self.observe_answer(flight, now)
         leader = flight.parts[0].endpoint
         key = (flight.request_id, flight.attempt)
-        self.work_freed(leader, key, now)
+        self.release_work(leader, key, now)
         flight.parts = flight.parts[1:]
-        self.free_parts(flight, now, freed=False)
+        self.release_parts(flight, now, freed=False)
         request = flight.request
         if flight.claim_granted:
             whole = answer or request_lib.Answer(
@@ -168,7 +170,7 @@
             actions.Finish(request_id=flight.request_id, answer=answer)
         )
 
-    def learn(self, flight: flights_lib.Flight, now: float) -> None:
+    def observe_answer(self, flight: flights_lib.Flight, now: float) -> None:
         """Learn decode speed and output length from a whole answer."""
         tokens = flight.stream.next_offset
         if flight.first_token_at is None or tokens < 2:
@@ -189,7 +191,7 @@
         ran = may_have_run(flight)
         if failure.ran is errors.Ran.NO and ran is not errors.Ran.NO:
             failure = attrs.evolve(failure, ran=ran)
-        self.free_parts(flight, now, freed=False)
+        self.release_parts(flight, now, freed=False)
         if flight.claim_granted or flight.claim_tries:
             self.core.out.append(
                 actions.SettleClaim(request=flight.request, ran=failure.ran)
@@ -211,7 +213,7 @@
         else:
             meter.waiting -= 1
         self.core.flights.remove(flight)
-        self.core.dispatcher.pump(request.service, now)
+        self.core.dispatcher.dispatch_queued(request.service, now)
 
 
 def may_have_run(flight: flights_lib.Flight) -> errors.Ran:
@@ -219,7 +221,9 @@
     return errors.Ran.UNKNOWN if flight.may_have_run else errors.Ran.NO
 
 
-def lost(endpoint: str, ran: errors.Ran = errors.Ran.UNKNOWN) -> errors.Failure:
+def endpoint_failed(
+    endpoint: str, ran: errors.Ran = errors.Ran.UNKNOWN
+) -> errors.Failure:
     """Return the failure of a request whose attempts were lost."""
     return errors.Failure(
         errors.ErrorCode.ENDPOINT_FAILED,
--- a/src/_coltsfootroad/core/backlog.py
+++ b/src/_coltsfootroad/core/backlog.py
@@ -9,7 +9,7 @@
 
 # Most announcements of one request: what is sent again after a lost response
 # stays bounded, whatever the number of endpoints.
-PAGE_SIZE = 500
+MAX_PAGE_ANNOUNCEMENTS = 500
 
 
 @attrs.define
@@ -43,7 +43,9 @@
 
     def page(self) -> tuple[registry.Announcement, ...]:
         """Return what the next request carries."""
-        return tuple(itertools.islice(self.pending.values(), PAGE_SIZE))
+        return tuple(
+            itertools.islice(self.pending.values(), MAX_PAGE_ANNOUNCEMENTS)
+        )
 
     def settle(self, delivered: Iterable[registry.Announcement]) -> None:
         """Forget what a request that was answered has carried."""
--- a/src/_coltsfootroad/core/claiming.py
+++ b/src/_coltsfootroad/core/claiming.py
@@ -5,7 +5,7 @@
 from _coltsfootroad.core import admission
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import flights
-from _coltsfootroad.core import hosts
+from _coltsfootroad.core import interfaces
 from _coltsfootroad.core import request as request_lib
 
 CLAIM_RETRY_S = 0.5
@@ -49,7 +49,9 @@
 }
 
 
-def begin(core: hosts.ClaimHost, flight: flights.Flight, now: float) -> None:
+def begin(
+    core: interfaces.ClaimContext, flight: flights.Flight, now: float
+) -> None:
     """Ask for the claim and wait for its answer."""
     flight.state = flights.FlightState.CLAIMING
     flight.claim_tries += 1
@@ -57,7 +59,9 @@
     core.flights.arm(flight, now + CLAIM_RETRY_S)
 
 
-def retry(core: hosts.ClaimHost, flight: flights.Flight, now: float) -> None:
+def retry(
+    core: interfaces.ClaimContext, flight: flights.Flight, now: float
+) -> None:
     """Ask again, with the same token, or give up."""
     if flight.claim_tries < MAX_CLAIM_TRIES:
         begin(core, flight, now)
@@ -71,7 +75,7 @@
 
 
 def on_answer(
-    core: hosts.ClaimHost,
+    core: interfaces.ClaimContext,
     flight: flights.Flight,
     answer: messages.ClaimAnswer,
     now: float,
@@ -87,7 +91,7 @@
     # The key is somebody else's: this flight must not settle it.
     flight.claim_tries = 0
     if answer.status is Status.DONE:
-        give_stored(core, flight, answer.answer, now)
+        return_stored_answer(core, flight, answer.answer, now)
         return
     code, message, ran = REFUSALS[answer.status]
     core.attempts.fail(
@@ -97,8 +101,8 @@
     )
 
 
-def give_stored(
-    core: hosts.ClaimHost,
+def return_stored_answer(
+    core: interfaces.ClaimContext,
     flight: flights.Flight,
     answer: request_lib.Answer,
     now: float,
--- a/src/_coltsfootroad/core/dispatcher.py
+++ b/src/_coltsfootroad/core/dispatcher.py
@@ -9,7 +9,7 @@
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import fairqueue
 from _coltsfootroad.core import flights
-from _coltsfootroad.core import hosts
+from _coltsfootroad.core import interfaces
 from _coltsfootroad.core import lengths
 from _coltsfootroad.core import placement
 from _coltsfootroad.core import policies as policies_lib
@@ -18,22 +18,22 @@
 from _coltsfootroad.core import servicekind
 
 # Heads that are tried in vain per pump before the rest must wait.
-MAX_VAIN_TRIES = 16
+MAX_FAILED_TRIES = 16
 # Choices made to get away from where a request failed before.
 MAX_CHOICES = 3
 GROUP_RETRY_S = 0.2
 GROUP_RENEW_S = 3.0
 # Ageing lifts a waiting prompt one band, and never to the short ones.
-AGED_BAND_FLOOR = 1
-AGE_AFTER_S = 20.0
+MIN_RAISED_BAND = 1
+RAISE_PRIORITY_AFTER_S = 20.0
 DEFAULT_WEIGHT = 1.0
 
 
 @attrs.define
-class Dispatcher(hosts.Dispatching):
+class Dispatcher(interfaces.DispatcherInterface):
     """The part of the entry core between admission and endpoint."""
 
-    core: hosts.DispatchHost
+    core: interfaces.DispatchContext
     queues: dict[str, fairqueue.FairQueue] = attrs.Factory(dict)
     bands_by_service: dict[str, lengths.LengthBands] = attrs.Factory(dict)
     policies: dict[str, tuple] = attrs.Factory(dict)
@@ -78,9 +78,9 @@
         first = min(
             (v.speed.prefill_s(v.ahead(band)) for v in views), default=0.0
         )
-        return first + self.minimum_s(request, pool)
+        return first + self.min_service_s(request, pool)
 
-    def minimum_s(
+    def min_service_s(
         self, request: request_lib.Request, pool: pool_lib.ServicePool
     ) -> float:
         """Return the seconds that an idle engine would need."""
@@ -88,7 +88,7 @@
             return 0.0
         if placement.needs_group(request, pool):
             return self.decode_s(request, pool)
-        speed = self.some_view(pool).speed
+        speed = self.typical_view(pool).speed
         cached = 1.0 if request.prefix_hashes else 0.0
         read_s = speed.prefill_s(request.prompt_tokens * (1 - cached))
         return read_s + self.decode_s(request, pool)
@@ -99,49 +99,51 @@
         """Return the seconds that an answer of usual length takes."""
         share = self.core.output_share(request.service).share
         tokens = int(request.output_tokens * share)
-        return self.some_view(pool).speed.decode_s(tokens)
+        return self.typical_view(pool).speed.decode_s(tokens)
 
-    def some_view(self, pool: pool_lib.ServicePool) -> endpoints.EndpointView:
+    def typical_view(
+        self, pool: pool_lib.ServicePool
+    ) -> endpoints.EndpointView:
         """Return a serving endpoint's view for typical speeds."""
         names = pool.clean.names or pool.dirty.names
         return pool.views[names[0]]
 
     # --- dispatch --------------------------------------------------------
 
-    def pump(self, service: str, now: float) -> None:
+    def dispatch_queued(self, service: str, now: float) -> None:
         """Dispatch from a service's queue until nothing more can go."""
         queue = self.queue(service)
         tries = 0
 
-        def may_go(request: request_lib.Request) -> bool:
+        def can_send(request: request_lib.Request) -> bool:
             nonlocal tries
-            if tries >= MAX_VAIN_TRIES:
+            if tries >= MAX_FAILED_TRIES:
                 return False
-            went = self.try_send(request, now)
-            tries += not went
-            return went
+            was_sent = self.try_send(request, now)
+            tries += not was_sent
+            return was_sent
 
-        while queue.size and queue.select(may_go) is not None:
+        while queue.size and queue.select(can_send) is not None:
             pass
 
     def try_send(self, request: request_lib.Request, now: float) -> bool:
         """Send a queued request if its limits and an endpoint allow it."""
         core = self.core
         flight = core.flights.get(request.request_id)
-        if not flight.charged and not self.limits_allow(request, now):
+        if not flight.charged and not self.is_within_limits(request, now):
             return False
         pool = core.pool(request.service)
         if now >= request.deadline_at or not pool.serving_count():
             return False
         if placement.needs_group(request, pool):
-            self.leave_queue(flight, now)
+            self.dequeue(flight, now)
             flight.state = flights.FlightState.RESERVING
             self.reserve(flight, now)
             return True
         choice = self.choose(flight, pool, now)
         if choice is None:
             return False
-        self.leave_queue(flight, now)
+        self.dequeue(flight, now)
         part = actions.Part(
             endpoint=choice.endpoint,
             prompt_tokens=choice.prompt_tokens,
@@ -150,7 +152,9 @@
         self.send(flight, (part,), choice.predicted_s, now)
         return True
 
-    def limits_allow(self, request: request_lib.Request, now: float) -> bool:
+    def is_within_limits(
+        self, request: request_lib.Request, now: float
+    ) -> bool:
         """Return whether the workspace's leased share has room.
 
         A workspace that was idle here holds no share; the next heartbeat,
@@ -160,10 +164,10 @@
         if settings is not None and not settings.is_limited:
             return True
         meter = self.core.limits.meter(request.workspace)
-        if meter.may_start(now):
+        if meter.can_start(now):
             return True
         if not meter.has_lease(now):
-            self.core.syncing.hurry(now)
+            self.core.syncing.request_heartbeat(now)
         return False
 
     def choose(
@@ -178,13 +182,13 @@
                 return choice
         return choice
 
-    def leave_queue(self, flight: flights.Flight, now: float) -> None:
+    def dequeue(self, flight: flights.Flight, now: float) -> None:
         """Take a flight out of the queue and charge its workspace."""
         request = flight.request
         workspace = self.core.config.workspaces.get(request.workspace)
         weight = workspace.weight if workspace else DEFAULT_WEIGHT
         weight *= fairqueue.priority_factor(request.priority)
-        self.queue(request.service).dispatched(request, weight)
+        self.queue(request.service).on_dispatched(request, weight)
         if flight.charged:
             return
         flight.charged = True
@@ -219,7 +223,7 @@
         if flight.band == 0:
             speed = pool.views[parts[0].endpoint].speed
             pool.note_short(speed.prefill_s(request.prompt_tokens), now)
-        core.flights.arm(flight, now + predicted_s + AGE_AFTER_S)
+        core.flights.arm(flight, now + predicted_s + RAISE_PRIORITY_AFTER_S)
         core.out.append(
             actions.Dispatch(
                 request=request,
@@ -261,20 +265,23 @@
         policy = self.policy(flight.request.service)
         return flight.band if policy.uses_priorities else 0
 
-    def age(self, flight: flights.Flight, now: float) -> None:
+    def raise_priority(self, flight: flights.Flight, now: float) -> None:
         """Lift a prompt that has waited long at its engine, with a floor."""
-        lifted = flight.priority - 1
-        if lifted < AGED_BAND_FLOOR or len(flight.parts) != 1:
+        raised = flight.priority - 1
+        if raised < MIN_RAISED_BAND or len(flight.parts) != 1:
             return
-        if now - flight.dispatched_at < flight.predicted_s + AGE_AFTER_S:
+        if (
+            now - flight.dispatched_at
+            < flight.predicted_s + RAISE_PRIORITY_AFTER_S
+        ):
             return
-        flight.priority = lifted
+        flight.priority = raised
         self.core.out.append(
             actions.Reprioritise(
                 endpoint=flight.parts[0].endpoint,
                 request_id=flight.request_id,
                 attempt=flight.attempt,
-                priority=lifted,
+                priority=raised,
             )
         )
 
@@ -289,14 +296,14 @@
         if not flight.group_engines:
             plan = placement.plan(request, flight.band, pool, set(), now)
             if plan is None:
-                self.refuse_unplaceable(flight, pool, now)
+                self.fail_if_unplaceable(flight, pool, now)
                 return
             self.group_number += 1
             flight.group = f"{core.owner}/{self.group_number}"
             flight.group_engines = plan.engines
         core.out.append(self.reservation(flight))
 
-    def refuse_unplaceable(
+    def fail_if_unplaceable(
         self,
         flight: flights.Flight,
         pool: pool_lib.ServicePool,
@@ -319,7 +326,7 @@
 
     def on_group(self, answer: messages.GroupAnswer, now: float) -> None:
         """Send a flight whose reservation holds, or plan anew."""
-        flight = self.flight_of(answer.group)
+        flight = self.flight_of_group(answer.group)
         if flight is None:
             if answer.granted:
                 self.core.out.append(actions.ReleaseGroup(group=answer.group))
@@ -333,7 +340,7 @@
             return
         self.send_group(flight, now)
 
-    def flight_of(self, group: str) -> flights.Flight | None:
+    def flight_of_group(self, group: str) -> flights.Flight | None:
         """Return the flight that a group belongs to."""
         for flight in self.core.flights.flights.values():
             if flight.group == group:
@@ -367,8 +374,8 @@
             return
         self.renewed_at = now
         for flight in self.core.flights.flights.values():
-            running = flight.state is flights.FlightState.RUNNING
-            if flight.group and running:
+            is_running = flight.state is flights.FlightState.RUNNING
+            if flight.group and is_running:
                 self.core.out.append(self.reservation(flight))
 
 
--- a/src/_coltsfootroad/core/entry.py
+++ b/src/_coltsfootroad/core/entry.py
@@ -18,7 +18,7 @@
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import flights as flights_lib
 from _coltsfootroad.core import freshness as freshness_lib
-from _coltsfootroad.core import hosts
+from _coltsfootroad.core import interfaces
 from _coltsfootroad.core import limits as limits_lib
 from _coltsfootroad.core import policies
 from _coltsfootroad.core import pool as pool_lib
@@ -35,24 +35,24 @@
 FIRST_TOKEN_FACTOR = 4.0
 FIRST_TOKEN_GRACE_S = 10.0
 # How often the queue is tried again, and each waiting request is checked.
-PUMP_EVERY_S = 0.05
-CHECK_WAITING_S = 0.5
+DISPATCH_INTERVAL_S = 0.05
+WAITING_CHECK_INTERVAL_S = 0.5
 # How long a request waits for a first endpoint of its service.
-NO_ENDPOINT_PATIENCE_S = 5.0
+NO_ENDPOINT_TIMEOUT_S = 5.0
 # Patience with a silent stream from an endpoint whose lease has ended.
-EXPIRED_PATIENCE_S = 3.0
-AGE_STEP_S = 5.0
+EXPIRED_LEASE_TIMEOUT_S = 3.0
+PROGRESS_CHECK_INTERVAL_S = 5.0
 
 Fault = attempts_lib.Fault
 
 
 @attrs.define
 class EntryCore(
-    hosts.AttemptHost,
-    hosts.ClaimHost,
-    hosts.DispatchHost,
-    hosts.RosterHost,
-    hosts.SyncHost,
+    interfaces.AttemptContext,
+    interfaces.ClaimContext,
+    interfaces.DispatchContext,
+    interfaces.RosterContext,
+    interfaces.SyncContext,
 ):
     """Admits, queues, routes and finishes requests; does no I/O.
 
@@ -141,7 +141,7 @@
         flight = flights_lib.Flight(request, band, timer_at=now)
         self.flights.add(flight)
         self.limits.meter(request.workspace).waiting += 1
-        if request.claims_key:
+        if request.needs_claim:
             claiming.begin(self, flight, now)
         else:
             self.enqueue(flight, now)
@@ -170,9 +170,9 @@
         refusal = admission.check_capacity(request, pool)
         if refusal is not None:
             return refusal
-        return self.check_time(request, pool, now)
+        return self.check_queue_and_deadline(request, pool, now)
 
-    def check_time(
+    def check_queue_and_deadline(
         self,
         request: request_lib.Request,
         pool: pool_lib.ServicePool,
@@ -204,8 +204,8 @@
         self.dispatcher.queue(flight.request.service).push(
             flight.request, flight.band
         )
-        self.flights.arm(flight, now + CHECK_WAITING_S)
-        self.dispatcher.pump(flight.request.service, now)
+        self.flights.arm(flight, now + WAITING_CHECK_INTERVAL_S)
+        self.dispatcher.dispatch_queued(flight.request.service, now)
 
     def on_caller_gone(
         self, request_id: str, now: float
@@ -251,11 +251,11 @@
         self,
         request: messages.SyncRequest,
         reply: messages.SyncReply,
-        asked_at: float,
+        requested_at: float,
         now: float,
     ) -> list[actions.Action]:
         """Take the leader's answer to a heartbeat sent at `asked_at`."""
-        self.syncing.take(request, reply, asked_at, now)
+        self.syncing.take(request, reply, requested_at, now)
         return self.flush()
 
     # --- endpoints -------------------------------------------------------
@@ -313,17 +313,19 @@
         now: float,
     ) -> list[actions.Action]:
         """Take a piece of an answer, whatever attempt it belongs to."""
-        flight = self.attempts.running(request_id, attempt)
+        flight = self.attempts.running_flight(request_id, attempt)
         if flight is None or flight.parts[0].endpoint != endpoint:
             self.counters.late_chunks += 1
             return self.flush()
-        self.attempts.note_progress(flight, now)
+        self.attempts.record_progress(flight, now)
         for ready in flight.stream.add(attempt, chunk):
             self.attempts.emit(flight, ready)
         if flight.stream.complete:
             self.attempts.finish(flight, None, now)
         elif flight.stream.overflow:
-            self.attempts.attempt_failed(flight, endpoint, Fault.LOST, now)
+            self.attempts.handle_failed_attempt(
+                flight, endpoint, Fault.LOST, now
+            )
         return self.flush()
 
     def on_answer(
@@ -335,7 +337,7 @@
         now: float,
     ) -> list[actions.Action]:
         """Take the whole answer of a plain service."""
-        flight = self.attempts.running(request_id, attempt)
+        flight = self.attempts.running_flight(request_id, attempt)
         if flight is None:
             self.counters.late_chunks += 1
             return self.flush()
@@ -353,18 +355,18 @@
         now: float,
     ) -> list[actions.Action]:
         """Take the failure of one attempt."""
-        flight = self.attempts.running(request_id, attempt)
+        flight = self.attempts.running_flight(request_id, attempt)
         if flight is not None:
-            self.attempts.attempt_failed(flight, endpoint, fault, now)
+            self.attempts.handle_failed_attempt(flight, endpoint, fault, now)
         elif fault is not Fault.LOST:
-            self.attempts.work_freed(endpoint, (request_id, attempt), now)
+            self.attempts.release_work(endpoint, (request_id, attempt), now)
         return self.flush()
 
     def on_cancel_confirmed(
         self, endpoint: str, request_id: str, attempt: int, now: float
     ) -> list[actions.Action]:
         """Take the engine's word that it holds nothing of an attempt."""
-        self.attempts.work_freed(endpoint, (request_id, attempt), now)
+        self.attempts.release_work(endpoint, (request_id, attempt), now)
         return self.flush()
 
     def output_share(self, service: str) -> admission.OutputShare:
@@ -377,16 +379,16 @@
         """Run every timer that is due."""
         self.out += self.releaser.due(self.view, now)
         if not self.freshness.is_current(now):
-            self.fail_waiting(now)
+            self.fail_undispatched(now)
         for flight in self.flights.due(now):
             # An earlier one of them may have ended it on the way.
             if flight.state is not flights_lib.FlightState.DONE:
                 self.on_timer(flight, now)
         self.dispatcher.renew_groups(now)
-        self.pump_all(now)
+        self.dispatch_all_queued(now)
         return self.flush()
 
-    def fail_waiting(self, now: float) -> None:
+    def fail_undispatched(self, now: float) -> None:
         """Refuse what has not been sent, once the entry has fenced itself."""
         waiting = (
             flights_lib.FlightState.QUEUED,
@@ -427,14 +429,14 @@
         """Give up at once on a waiting request that cannot make it."""
         pool = self.pool(flight.request.service)
         if not flight.may_have_run and pool.serving_count():
-            predicted_s = self.dispatcher.minimum_s(flight.request, pool)
+            predicted_s = self.dispatcher.min_service_s(flight.request, pool)
             refusal = admission.check_deadline(flight.request, predicted_s, now)
             if refusal is not None:
                 self.attempts.fail(flight, refusal, now)
                 return
         if not pool.serving_count():
             empty_s = now - max(pool.emptied_at, flight.request.arrived_at)
-            if empty_s >= NO_ENDPOINT_PATIENCE_S:
+            if empty_s >= NO_ENDPOINT_TIMEOUT_S:
                 self.attempts.fail(
                     flight, attempts_lib.no_endpoint(flight), now
                 )
@@ -442,40 +444,44 @@
         if flight.state is flights_lib.FlightState.RESERVING:
             self.dispatcher.reserve(flight, now)
             return
-        self.flights.arm(flight, now + CHECK_WAITING_S)
+        self.flights.arm(flight, now + WAITING_CHECK_INTERVAL_S)
 
     def check_progress(self, flight: flights_lib.Flight, now: float) -> None:
         """Time out an attempt that shows no progress; age one that waits."""
         if flight.first_token_at is None or flight.progress_at <= (
             flight.dispatched_at
         ):
-            patience = FIRST_TOKEN_FACTOR * flight.predicted_s
-            give_up_at = flight.dispatched_at + patience + FIRST_TOKEN_GRACE_S
-            self.dispatcher.age(flight, now)
+            timeout_s = FIRST_TOKEN_FACTOR * flight.predicted_s
+            timeout_at = flight.dispatched_at + timeout_s + FIRST_TOKEN_GRACE_S
+            self.dispatcher.raise_priority(flight, now)
         else:
-            give_up_at = flight.progress_at + attempts_lib.STREAM_IDLE_S
+            timeout_at = flight.progress_at + attempts_lib.STREAM_IDLE_S
         view = self.view(flight.parts[0].endpoint)
         if view is None or view.expired:
-            give_up_at = min(
-                give_up_at, flight.progress_at + EXPIRED_PATIENCE_S
+            timeout_at = min(
+                timeout_at, flight.progress_at + EXPIRED_LEASE_TIMEOUT_S
             )
-        if now >= give_up_at:
+        if now >= timeout_at:
             endpoint = flight.parts[0].endpoint
-            self.attempts.attempt_failed(flight, endpoint, Fault.LOST, now)
+            self.attempts.handle_failed_attempt(
+                flight, endpoint, Fault.LOST, now
+            )
             return
-        self.flights.arm(flight, min(give_up_at, now + AGE_STEP_S))
+        self.flights.arm(
+            flight, min(timeout_at, now + PROGRESS_CHECK_INTERVAL_S)
+        )
 
-    def pump_all(self, now: float) -> None:
+    def dispatch_all_queued(self, now: float) -> None:
         """Dispatch whatever can go now, for every service."""
         for service in list(self.dispatcher.queues):
-            self.dispatcher.pump(service, now)
+            self.dispatcher.dispatch_queued(service, now)
 
     def next_wake(self, now: float) -> float:
         """Return when `tick` is wanted next, at the latest in a second."""
         times = [now + 1.0, self.releaser.next_timer()]
         times.append(self.flights.next_timer())
         if any(queue.size for queue in self.dispatcher.queues.values()):
-            times.append(now + PUMP_EVERY_S)
+            times.append(now + DISPATCH_INTERVAL_S)
         return min(t for t in times if t is not None)
 
     # --- shutdown --------------------------------------------------------
--- a/src/_coltsfootroad/core/errors.py
+++ b/src/_coltsfootroad/core/errors.py
@@ -21,7 +21,7 @@
     UNAUTHORIZED = "unauthorized"
     UNKNOWN_SERVICE = "unknown_service"
     FORBIDDEN_SERVICE = "forbidden_service"
-    KEY_REQUIRED_AGE = "key_without_age"
+    KEY_WITHOUT_AGE = "key_without_age"
     KEY_EXPIRED = "key_expired"
     KEY_REUSED = "key_reused"
     IN_PROGRESS = "in_progress"
@@ -40,7 +40,7 @@
     CALLER_GONE = "caller_gone"
     STALE_VERSION = "stale_version"
     INVALID_CONFIG = "invalid_config"
-    PATCH_REUSED = "patch_id_reused"
+    PATCH_ID_REUSED = "patch_id_reused"
     NOT_FOUND = "not_found"
     QUARANTINED = "quarantined"
     UNAVAILABLE = "unavailable"
@@ -53,7 +53,7 @@
     ErrorCode.UNAUTHORIZED: 401,
     ErrorCode.UNKNOWN_SERVICE: 404,
     ErrorCode.FORBIDDEN_SERVICE: 403,
-    ErrorCode.KEY_REQUIRED_AGE: 400,
+    ErrorCode.KEY_WITHOUT_AGE: 400,
     ErrorCode.KEY_EXPIRED: 410,
     ErrorCode.KEY_REUSED: 422,
     ErrorCode.IN_PROGRESS: 409,
@@ -72,7 +72,7 @@
     ErrorCode.CALLER_GONE: 499,
     ErrorCode.STALE_VERSION: 412,
     ErrorCode.INVALID_CONFIG: 400,
-    ErrorCode.PATCH_REUSED: 422,
+    ErrorCode.PATCH_ID_REUSED: 422,
     ErrorCode.NOT_FOUND: 404,
     ErrorCode.QUARANTINED: 503,
     ErrorCode.UNAVAILABLE: 503,
--- a/src/_coltsfootroad/core/patience.py
+++ b/src/_coltsfootroad/core/failoverdelay.py
@@ -9,32 +9,32 @@
 from _coltsfootroad.core import routes
 
 # Callers of a stream leave after a pause of the longest of these.
-CALLER_PAUSE_S = 2.0
-CALLER_TARGETS = 4.0
-CALLER_GAPS = 8.0
+MIN_CALLER_TIMEOUT_S = 2.0
+CALLER_TIMEOUT_TARGETS = 4.0
+CALLER_TIMEOUT_GAPS = 8.0
 # Part of that time, or of a call's timeout, given to the first endpoint.
-FIRST_SHARE = 0.5
+FIRST_ENDPOINT_SHARE = 0.5
 # A prediction may err by this factor before the endpoint counts as silent.
 # Under overload every answer is slow; turning away from slow endpoints then
 # sends the same work once more to engines that are as busy.
-PREDICTION_FACTOR = 3.0
+PREDICTION_ERROR_FACTOR = 3.0
 
 
-def caller_patience_s(route: routes.Route) -> float:
+def caller_timeout_s(route: routes.Route) -> float:
     """Return the longest pause that a stream's caller bears."""
     return max(
-        CALLER_PAUSE_S,
-        CALLER_TARGETS * route.target_s,
-        CALLER_GAPS * route.gap_target_s,
+        MIN_CALLER_TIMEOUT_S,
+        CALLER_TIMEOUT_TARGETS * route.target_s,
+        CALLER_TIMEOUT_GAPS * route.gap_target_s,
     )
 
 
-def switch_after_s(route: routes.Route, expected_s: float) -> float:
+def failover_after_s(route: routes.Route, expected_s: float) -> float:
     """Return after how much silence to turn to another endpoint.
 
     `expected_s` is the predicted time to the next sign of life.
     """
     if route.kind is not routes.RequestKind.STREAM:
-        return FIRST_SHARE * route.timeout_s
-    first_s = FIRST_SHARE * caller_patience_s(route)
-    return max(first_s, PREDICTION_FACTOR * expected_s)
+        return FIRST_ENDPOINT_SHARE * route.timeout_s
+    first_s = FIRST_ENDPOINT_SHARE * caller_timeout_s(route)
+    return max(first_s, PREDICTION_ERROR_FACTOR * expected_s)
--- a/src/_coltsfootroad/core/fairqueue.py
+++ b/src/_coltsfootroad/core/fairqueue.py
@@ -104,7 +104,9 @@
         heapq.heapify(tagged)
         return [heapq.heappop(tagged)[2] for _ in range(len(tagged))]
 
-    def dispatched(self, request: request_lib.Request, weight: float) -> None:
+    def on_dispatched(
+        self, request: request_lib.Request, weight: float
+    ) -> None:
         """Take out a request that was dispatched and charge for it."""
         band = self.bands[request.request_id]
         others_wait = any(
@@ -129,11 +131,11 @@
         self.long_credit = 0.0
 
     def select(
-        self, may_go: Callable[[request_lib.Request], bool]
+        self, can_send: Callable[[request_lib.Request], bool]
     ) -> request_lib.Request | None:
         """Return the next request that `may_go`, without taking it out."""
         for band in self.band_order():
             for request in self.candidates(band):
-                if may_go(request):
+                if can_send(request):
                     return request
         return None
--- a/src/_coltsfootroad/core/fanout.py
+++ b/src/_coltsfootroad/core/fanout.py
@@ -17,16 +17,16 @@
 
 
 @attrs.frozen
-class Copy:
+class Delivery:
     """One copy of a message; `pass_on` asks to spread it inside the zone."""
 
     to: addresses.Member
     pass_on: bool = False
 
 
-def copies(
+def deliveries(
     receivers: Iterable[addresses.Member], sender: str, zone: str, turn: int
-) -> list[Copy]:
+) -> list[Delivery]:
     """Return the copies that tell all receivers what a `sender` in `zone` says.
 
     `turn` draws anew who passes on: one that is frozen or cut off keeps its
@@ -34,18 +34,18 @@
     """
     found = []
     key = f"{FANOUT_KEY}/{sender}/{turn}"
-    for their_zone, members in by_zone(receivers).items():
+    for their_zone, members in group_by_zone(receivers).items():
         if their_zone == zone or len(members) == 1:
-            found += [Copy(member) for member in members]
+            found += [Delivery(member) for member in members]
         else:
             first = min(
                 members, key=lambda m: hashing.stable_hash(m.entry, key)
             )
-            found.append(Copy(first, pass_on=True))
+            found.append(Delivery(first, pass_on=True))
     return found
 
 
-def by_zone(
+def group_by_zone(
     members: Iterable[addresses.Member],
 ) -> dict[str, list[addresses.Member]]:
     """Return members by their availability zone."""
--- a/src/_coltsfootroad/core/flights.py
+++ b/src/_coltsfootroad/core/flights.py
@@ -46,7 +46,7 @@
     group_engines: dict[str, int] = attrs.Factory(dict)
     stream: stream_lib.AnswerStream = attrs.Factory(stream_lib.AnswerStream)
     may_have_run: bool = False
-    lost_before: bool = False
+    had_lost_attempt: bool = False
     claim_granted: bool = False
     claim_tries: int = 0
     charged: bool = False
--- a/src/_coltsfootroad/core/freshness.py
+++ b/src/_coltsfootroad/core/freshness.py
@@ -28,9 +28,9 @@
         """Return the live entries as last heard."""
         return tuple(self.member_view.known.values())
 
-    def confirm(self, asked_at: float) -> None:
+    def confirm(self, requested_at: float) -> None:
         """Note that the version was current at `asked_at`."""
-        self.confirmed_at = max(self.confirmed_at, asked_at)
+        self.confirmed_at = max(self.confirmed_at, requested_at)
 
     def is_current(self, now: float) -> bool:
         """Return whether the proof is young enough to admit requests."""
--- a/src/_coltsfootroad/core/hosts.py
+++ b/src/_coltsfootroad/core/interfaces.py
@@ -27,7 +27,7 @@
 from _coltsfootroad.core import retries
 
 
-class Host(abc.ABC):
+class CoreContext(abc.ABC):
     """What all parts share: requests in progress and endpoints known.
 
     Attributes:
@@ -51,7 +51,7 @@
         """Return the view of a known endpoint."""
 
 
-class Dispatching(abc.ABC):
+class DispatcherInterface(abc.ABC):
     """Queues, and sends what may go."""
 
     @abc.abstractmethod
@@ -59,7 +59,7 @@
         """Return the queue of a service, made on first use."""
 
     @abc.abstractmethod
-    def pump(self, service: str, now: float) -> None:
+    def dispatch_queued(self, service: str, now: float) -> None:
         """Dispatch whatever can go now."""
 
     @abc.abstractmethod
@@ -67,17 +67,17 @@
         """Give back the engines that were reserved for a request."""
 
 
-class Ending(abc.ABC):
+class AttemptsInterface(abc.ABC):
     """Follows attempts to their ends."""
 
     @abc.abstractmethod
-    def running(
+    def running_flight(
         self, request_id: str, attempt: int
     ) -> flights_lib.Flight | None:
         """Return the flight of an attempt that is still under way."""
 
     @abc.abstractmethod
-    def attempt_failed(
+    def handle_failed_attempt(
         self,
         flight: flights_lib.Flight,
         endpoint: str,
@@ -97,15 +97,15 @@
         """Forget a request; `used` tokens were written for it."""
 
 
-class Hurrying(abc.ABC):
+class SyncInterface(abc.ABC):
     """Talks to the leader."""
 
     @abc.abstractmethod
-    def hurry(self, now: float) -> None:
+    def request_heartbeat(self, now: float) -> None:
         """Ask for a heartbeat before its time."""
 
 
-class Following(abc.ABC):
+class RosterInterface(abc.ABC):
     """Follows what endpoints and the leader say of endpoints."""
 
     @abc.abstractmethod
@@ -127,7 +127,7 @@
         """Forget expired endpoints on which nothing runs."""
 
 
-class AttemptHost(Host):
+class AttemptContext(CoreContext):
     """What follows attempts needs."""
 
     rng: random.Random
@@ -135,30 +135,30 @@
     counters: counters_lib.Counters
     limits: limits_lib.LimitTable
     releaser: releases.Releaser
-    dispatcher: Dispatching
+    dispatcher: DispatcherInterface
 
     @abc.abstractmethod
     def output_share(self, service: str) -> admission.OutputShare:
         """Return what is learned of a service's output lengths."""
 
 
-class ClaimHost(Host):
+class ClaimContext(CoreContext):
     """What takes claims needs."""
 
     counters: counters_lib.Counters
-    attempts: Ending
+    attempts: AttemptsInterface
 
     @abc.abstractmethod
     def enqueue(self, flight: flights_lib.Flight, now: float) -> None:
         """Put a flight into its queue and try to dispatch at once."""
 
 
-class DispatchHost(Host):
+class DispatchContext(CoreContext):
     """What queues and sends needs."""
 
     limits: limits_lib.LimitTable
-    attempts: Ending
-    syncing: Hurrying
+    attempts: AttemptsInterface
+    syncing: SyncInterface
     make_policy: Callable[[config_lib.Service], policies.Policy]
 
     @property
@@ -176,24 +176,24 @@
         """Return what is learned of a service's output lengths."""
 
 
-class RosterHost(Host):
+class RosterContext(CoreContext):
     """What follows endpoints needs."""
 
     freshness: freshness_lib.Freshness
     releaser: releases.Releaser
-    attempts: Ending
-    dispatcher: Dispatching
+    attempts: AttemptsInterface
+    dispatcher: DispatcherInterface
 
 
-class SyncHost(Host):
+class SyncContext(CoreContext):
     """What talks to the leader needs."""
 
     entry: str
     draining: bool
     freshness: freshness_lib.Freshness
     limits: limits_lib.LimitTable
-    roster: Following
+    roster: RosterInterface
 
     @abc.abstractmethod
-    def pump_all(self, now: float) -> None:
+    def dispatch_all_queued(self, now: float) -> None:
         """Dispatch whatever can go now, for every service."""
--- a/src/_coltsfootroad/core/limits.py
+++ b/src/_coltsfootroad/core/limits.py
@@ -52,7 +52,7 @@
         busy = self.in_flight or self.waiting or self.rate_used >= 1
         return self.share is not None and (busy or self.has_lease(now))
 
-    def fill(self, now: float) -> None:
+    def refill(self, now: float) -> None:
         """Add the tokens earned since the last call while the lease held."""
         share = self.share
         earned_until = min(now, self.lease_until)
@@ -68,11 +68,11 @@
         """Return whether a share is held now."""
         return self.share is not None and now < self.lease_until
 
-    def may_start(self, now: float) -> bool:
+    def can_start(self, now: float) -> bool:
         """Return whether one more request fits into the share now."""
         if not self.has_lease(now):
             return False
-        self.fill(now)
+        self.refill(now)
         limit = self.share.concurrency
         if limit is not None and self.in_flight >= limit:
             return False
@@ -82,17 +82,17 @@
 
     def start(self, cost_tokens: int, now: float) -> None:
         """Charge a request that starts."""
-        self.fill(now)
+        self.refill(now)
         self.in_flight += 1
         self.tokens -= cost_tokens
-        self.note_rate(cost_tokens, now)
+        self.record_rate(cost_tokens, now)
 
     def finish(self, unused_tokens: int) -> None:
         """End a request and give back what it did not use."""
         self.in_flight -= 1
         self.tokens += unused_tokens
 
-    def note_rate(self, tokens: float, now: float) -> None:
+    def record_rate(self, tokens: float, now: float) -> None:
         """Track the rate in use with a window of about a second."""
         elapsed = max(now - self.rate_at, 0.0)
         self.rate_used *= max(0.0, 1.0 - elapsed)
@@ -117,17 +117,17 @@
         """Return the meter of a workspace, made on first use."""
         return self.meters.setdefault(workspace, WorkspaceMeter())
 
-    def apply(self, shares: tuple[Share, ...], asked_at: float, now: float):
+    def apply(self, shares: tuple[Share, ...], requested_at: float, now: float):
         """Take shares; their leases count from before they were asked for."""
         for share in shares:
             meter = self.meter(share.workspace)
             if meter.share is not None and share.grant <= meter.share.grant:
                 continue
-            meter.fill(now)
+            meter.refill(now)
             if meter.share is None and share.tokens_per_s is not None:
                 meter.tokens = max(meter.tokens, share.tokens_per_s)
             meter.share = share
-            meter.lease_until = asked_at + share.lease_s
+            meter.lease_until = requested_at + share.lease_s
 
     def demands(self, now: float) -> tuple[Demand, ...]:
         """Return what each active workspace could use."""
@@ -136,7 +136,7 @@
             wanted = meter.in_flight + meter.waiting
             if not wanted and meter.rate_used < 1:
                 continue
-            meter.note_rate(0, now)
+            meter.record_rate(0, now)
             found.append(
                 Demand(
                     workspace=name,
--- a/src/_coltsfootroad/core/loadindex.py
+++ b/src/_coltsfootroad/core/loadindex.py
@@ -68,7 +68,7 @@
             load = self.loads[work.endpoint] = EndpointLoad()
         load.works[key] = work
         self.note_change(load)
-        if work.waits_late:
+        if work.is_late_waiting:
             self.late.setdefault(work.endpoint, set()).add(key)
         else:
             self.drop_late(key, work.endpoint)
--- a/src/_coltsfootroad/core/settledshare.py
+++ b/src/_coltsfootroad/core/minimumshare.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define
-class HeldShare:
+class ShareInterval:
     """A share and until when it was held."""
 
     share: float
@@ -14,7 +14,7 @@
 
 
 @attrs.define
-class SettledShare:
+class MinimumShare:
     """The least share that a gateway held at any time of a span.
 
     Gateways learn at different moments that a member came or was lost, and a
@@ -33,15 +33,15 @@
     span_s: float
     lease_s: float
     proved_at: float = float("-inf")
-    held: collections.deque[HeldShare] = attrs.Factory(
-        lambda: collections.deque([HeldShare(0.0)])
+    held: collections.deque[ShareInterval] = attrs.Factory(
+        lambda: collections.deque([ShareInterval(0.0)])
     )
 
     def update(self, share: float, now: float, proved_at: float) -> None:
         """Note the share in force from `now` on, by members of `proved_at`."""
-        lapsed_at = self.proved_at + self.lease_s
-        if now > lapsed_at:
-            self.replace(0.0, lapsed_at)
+        expired_at = self.proved_at + self.lease_s
+        if now > expired_at:
+            self.replace(0.0, expired_at)
         self.proved_at = max(self.proved_at, proved_at)
         self.replace(share, now)
 
@@ -52,9 +52,9 @@
         self.held[-1].until = at
         while self.held and self.held[-1].share >= share:
             self.held.pop()
-        self.held.append(HeldShare(share))
+        self.held.append(ShareInterval(share))
 
-    def least(self, now: float) -> float:
+    def minimum(self, now: float) -> float:
         """Return the least share of the span that ends now."""
         if now > self.proved_at + self.lease_s:
             return 0.0
--- a/src/_coltsfootroad/core/request.py
+++ b/src/_coltsfootroad/core/request.py
@@ -51,7 +51,7 @@
         return self.prompt_tokens + self.output_tokens
 
     @property
-    def claims_key(self) -> bool:
+    def needs_claim(self) -> bool:
         """Return whether a durable claim guards the dispatch."""
         return self.non_idempotent and bool(self.idempotency_key)
 
--- a/src/_coltsfootroad/core/retryloans.py
+++ b/src/_coltsfootroad/core/retryloans.py
@@ -5,7 +5,7 @@
 import attrs
 
 # A lent retry is sent within this time after it was asked for.
-LOAN_S = 4.0
+LOAN_LIFETIME_S = 4.0
 
 
 @attrs.define
@@ -13,7 +13,7 @@
     """Retries that may be sent until a time."""
 
     until: float
-    left: int
+    remaining: int
 
 
 @attrs.define
@@ -33,19 +33,19 @@
         if not self.loans:
             return None
         first = self.loans[0]
-        first.left -= 1
-        if not first.left:
+        first.remaining -= 1
+        if not first.remaining:
             self.loans.popleft()
         return first.until
 
-    def give_back(self, until: float) -> None:
+    def return_unused(self, until: float) -> None:
         """Take back one retry that was not sent."""
         self.loans.appendleft(Loan(until, 1))
 
-    def left(self, now: float) -> int:
+    def remaining(self, now: float) -> int:
         """Return how many retries may be sent now."""
         self.expire(now)
-        return sum(loan.left for loan in self.loans)
+        return sum(loan.remaining for loan in self.loans)
 
     def expire(self, now: float) -> None:
         """Drop loans that have ended."""
--- a/src/_coltsfootroad/core/roster.py
+++ b/src/_coltsfootroad/core/roster.py
@@ -4,17 +4,17 @@
 
 from _coltsfootroad.core import endpoints
 from _coltsfootroad.core import faults
-from _coltsfootroad.core import hosts
+from _coltsfootroad.core import interfaces
 from _coltsfootroad.core import registry
 
 Fault = faults.Fault
 
 
 @attrs.define
-class Roster(hosts.Following):
+class Roster(interfaces.RosterInterface):
     """The part of the entry core that follows endpoints."""
 
-    core: hosts.RosterHost
+    core: interfaces.RosterContext
 
     def take_announcement(
         self, announcement: registry.Announcement, now: float
@@ -39,7 +39,7 @@
             return
         self.core.endpoint_service[name] = announcement.service
         self.core.pool(announcement.service).update(announcement, now)
-        self.core.dispatcher.pump(announcement.service, now)
+        self.core.dispatcher.dispatch_queued(announcement.service, now)
 
     def drop_endpoint(self, name: str, now: float) -> None:
         """Forget an endpoint that is gone, and move its work elsewhere."""
@@ -62,7 +62,7 @@
         view.expired = True
         self.core.pools[self.core.endpoint_service[name]].classify(view)
         for request_id, attempt in view.work:
-            flight = self.core.attempts.running(request_id, attempt)
+            flight = self.core.attempts.running_flight(request_id, attempt)
             if flight is not None:
                 self.core.flights.arm(flight, now)
 
@@ -79,9 +79,9 @@
         lost = list(view.work)
         view.work.clear()
         for request_id, attempt in lost:
-            flight = self.core.attempts.running(request_id, attempt)
+            flight = self.core.attempts.running_flight(request_id, attempt)
             if flight is not None:
-                self.core.attempts.attempt_failed(
+                self.core.attempts.handle_failed_attempt(
                     flight, view.name, Fault.LOST, now
                 )
 
--- a/src/_coltsfootroad/core/rotation.py
+++ b/src/_coltsfootroad/core/rotation.py
@@ -36,7 +36,7 @@
     A gateway that leaves or is lost gives its place to the next by rank and
     moves nobody else's.
     """
-    zones = fanout.by_zone(m for m in members if not m.leaving)
+    zones = fanout.group_by_zone(m for m in members if not m.leaving)
     chosen = []
     for found in zones.values():
         count = max(MIN_PER_ZONE, math.ceil(SHARE * len(found)))
--- a/src/_coltsfootroad/core/routeview.py
+++ b/src/_coltsfootroad/core/routeview.py
@@ -54,9 +54,9 @@
         self.table = routes.RouteTable(config)
         return True
 
-    def confirm(self, asked_at: float) -> None:
+    def confirm(self, requested_at: float) -> None:
         """Note that the version was current at `asked_at`."""
-        self.confirmed_at = max(self.confirmed_at, asked_at)
+        self.confirmed_at = max(self.confirmed_at, requested_at)
 
     def age_s(self, now: float) -> float:
         """Return how old the proof is."""
--- a/src/_coltsfootroad/core/shedding.py
+++ b/src/_coltsfootroad/core/shedding.py
@@ -14,15 +14,15 @@
 
 # Prompts above this are few and take no place from the short ones for long;
 # their callers bear a late start better than a second try.
-SHORT_TOKENS = 30_000
+MAX_SHEDDABLE_TOKENS = 30_000
 # Requests that wait although they are late, as a share of all places, above
 # which a caller who comes for the first time is sent away; and above which
 # one who comes back is, who would not come a third time.
-FRESH_SHARE = 0.15
-RETURNED_SHARE = 0.3
+FIRST_TRY_SHARE = 0.15
+RETRY_SHARE = 0.3
 # When to come back, in seconds, drawn so that callers do not return at once.
 # An answer takes about two seconds, so most places change hands meanwhile.
-COME_BACK_S = (0.6, 1.4)
+RETRY_AFTER_RANGE_S = (0.6, 1.4)
 
 
 @attrs.frozen(kw_only=True)
@@ -39,23 +39,23 @@
     prompt_tokens: int
     predicted_s: float
     target_s: float
-    returned: bool
+    is_retry: bool
 
 
-def come_back_s(
-    candidate: Candidate, waiting: int, places: int, rng: random.Random
+def shed_retry_after_s(
+    candidate: Candidate, waiting: int, slots: int, rng: random.Random
 ) -> float | None:
     """Return when to come back, None for a request that is to be sent.
 
     `waiting` requests are late already, at engines with so many `places`.
     """
-    if candidate.prompt_tokens > SHORT_TOKENS:
+    if candidate.prompt_tokens > MAX_SHEDDABLE_TOKENS:
         return None
     if candidate.predicted_s <= candidate.target_s:
         # Late or not, no queue makes it so, and a place is free: after a loss
         # of everything those who were held meanwhile come all at once.
         return None
-    share = RETURNED_SHARE if candidate.returned else FRESH_SHARE
-    if waiting <= share * places:
+    share = RETRY_SHARE if candidate.is_retry else FIRST_TRY_SHARE
+    if waiting <= share * slots:
         return None
-    return rng.uniform(*COME_BACK_S)
+    return rng.uniform(*RETRY_AFTER_RANGE_S)
--- a/src/_coltsfootroad/core/startshare.py
+++ b/src/_coltsfootroad/core/startuplimit.py
@@ -9,14 +9,14 @@
 
 # Part of the known places that all gateways together fill. Each draws engines
 # without knowing of the others, so some get twice as many prompts as the mean.
-FILLED_SHARE = 0.5
+FILLED_SLOT_SHARE = 0.5
 
 
-def allowed(places: int, gateways: int) -> int:
+def max_prompts(slots: int, gateways: int) -> int:
     """Return how many prompts one of some gateways may have under way.
 
     At least one: few gateways have anything to send at a moment.
     """
     if gateways <= 1:
-        return places
-    return max(1, int(FILLED_SHARE * places / gateways))
+        return slots
+    return max(1, int(FILLED_SLOT_SHARE * slots / gateways))
--- a/src/_coltsfootroad/core/syncing.py
+++ b/src/_coltsfootroad/core/syncing.py
@@ -7,7 +7,7 @@
 from _coltsfootroad.core import addresses
 from _coltsfootroad.core import config as config_lib
 from _coltsfootroad.core import endpoints
-from _coltsfootroad.core import hosts
+from _coltsfootroad.core import interfaces
 from _coltsfootroad.core import registry
 
 # Shortest time between two heartbeats that go out before their time.
@@ -16,14 +16,14 @@
 
 
 @attrs.define
-class Syncing(hosts.Hurrying):
+class Syncing(interfaces.SyncInterface):
     """The part of the entry core that talks to the leader.
 
     `announced` and `reported` hold what endpoints told this entry and the
     leader has not confirmed to have heard.
     """
 
-    core: hosts.SyncHost
+    core: interfaces.SyncContext
     wants_sync: bool = False
     hurried_at: float = float("-inf")
     registry_epoch: str = ""
@@ -71,7 +71,7 @@
             holdings=holdings,
         )
 
-    def hurry(self, now: float) -> None:
+    def request_heartbeat(self, now: float) -> None:
         """Ask for a heartbeat before its time, within a rate.
 
         A leader that cannot grant yet would otherwise be asked again at
@@ -85,20 +85,20 @@
         self,
         request: messages.SyncRequest,
         reply: messages.SyncReply,
-        asked_at: float,
+        requested_at: float,
         now: float,
     ) -> None:
         """Take the leader's answer to a heartbeat sent at `asked_at`."""
         self.forget_delivered(request)
         if not self.adopt_config(reply.config):
             return
-        self.core.freshness.confirm(asked_at)
+        self.core.freshness.confirm(requested_at)
         self.core.freshness.member_view.learn(
             reply.members,
             reply.lost_members,
             anew=reply.epoch != self.registry_epoch,
         )
-        self.core.limits.apply(reply.shares, asked_at, now)
+        self.core.limits.apply(reply.shares, requested_at, now)
         if reply.epoch != self.registry_epoch:
             self.announce_all()
         self.registry_epoch = reply.epoch
@@ -113,7 +113,7 @@
                 attrs.evolve(aged.report, measured_at=now - aged.age_s), now
             )
         self.apply_group_holds(reply.group_holds)
-        self.core.pump_all(now)
+        self.core.dispatch_all_queued(now)
 
     def adopt_config(self, update: messages.ConfigUpdate | None) -> bool:
         """Put a newer configuration in force; return whether all is well."""
--- a/src/_coltsfootroad/core/urgency.py
+++ b/src/_coltsfootroad/core/urgency.py
@@ -11,16 +11,18 @@
 # Aims in seconds and the rank of a request that can still meet its own;
 # short aims go first, as a place in the queue is a small part of long ones.
 RANKS = ((0.5, 1), (2.0, 2))
-LONG_RANK = 3
+LONG_TARGET_RANK = 3
 # Behind all that can be on time, still before what has no rank at all.
 LATE_RANK = 4
 
 
-def of(route: routes.Route, waited_s: float, predicted_s: float) -> int:
+def engine_rank(
+    route: routes.Route, waited_s: float, predicted_s: float
+) -> int:
     """Return the rank, 0 first, of a request that has waited so long."""
     if waited_s + predicted_s > route.target_s:
         return LATE_RANK
     for aim_s, rank in RANKS:
         if route.target_s <= aim_s:
             return rank
-    return LONG_RANK
+    return LONG_TARGET_RANK
--- a/src/_coltsfootroad/core/windowbudget.py
+++ b/src/_coltsfootroad/core/windowbudget.py
@@ -9,16 +9,16 @@
 # Part of the ratio that a gateway uses. The requests of two adjacent windows
 # may earn retries that are sent within one, at other gateways or after a
 # restart, and the fleet's bound counts one of them only.
-RATIO_PART = 0.5
+GATEWAY_RATIO_SHARE = 0.5
 # Part of the slack that gateways hold without a message between them.
-FLOOR_PART = 0.4
+PREALLOCATED_SLACK_SHARE = 0.4
 # A retry reaches its endpoint within this time after it was charged, and so
 # counts for that much longer.
 ARRIVAL_LAG_S = 0.5
 
 
 @attrs.define(eq=False)
-class Retry:
+class RetryReservation:
     """A retry that a request may send; the budget holds it until then.
 
     Attributes:
@@ -64,27 +64,31 @@
         self.requests.append(now)
         self.trim(now)
 
-    def reserve(self, floor_share: float, now: float) -> Retry | None:
+    def reserve(
+        self, slack_share: float, now: float
+    ) -> RetryReservation | None:
         """Hold one retry if the window has room or one is lent, else None.
 
         `floor_share` is this gateway's settled part of the slack, 0 to 1.
         """
         lent_until = self.loans.take(now)
         if lent_until is not None:
-            return Retry(lent_until)
+            return RetryReservation(lent_until)
         self.trim(now)
-        if not self.has_room(floor_share):
+        if not self.has_room(slack_share):
             self.refused += 1
             return None
         self.reserved += 1
-        return Retry()
+        return RetryReservation()
 
-    def charge(self, retry: Retry, floor_share: float, now: float) -> bool:
+    def charge(
+        self, retry: RetryReservation, slack_share: float, now: float
+    ) -> bool:
         """Count a reserved retry as sent now; return whether it may be.
 
         The window may have less room than when it was reserved.
         """
-        if not self.may_be_sent(retry, floor_share, now):
+        if not self.redeem(retry, slack_share, now):
             self.refused += 1
             return False
         if retry.lent_until is None:
@@ -92,33 +96,35 @@
         self.sent += 1
         return True
 
-    def may_be_sent(self, retry: Retry, floor_share: float, now: float) -> bool:
+    def redeem(
+        self, retry: RetryReservation, slack_share: float, now: float
+    ) -> bool:
         """Take a reserved retry back; return whether it may be sent now."""
         if retry.lent_until is not None:
             return now <= retry.lent_until
         self.reserved -= 1
         self.trim(now)
-        return self.has_room(floor_share)
+        return self.has_room(slack_share)
 
-    def release(self, retry: Retry) -> None:
+    def release(self, retry: RetryReservation) -> None:
         """Give back a retry that is not sent."""
         if retry.lent_until is not None:
-            self.loans.give_back(retry.lent_until)
+            self.loans.return_unused(retry.lent_until)
         else:
             self.reserved -= 1
 
-    def has_room(self, floor_share: float) -> bool:
+    def has_room(self, slack_share: float) -> bool:
         """Return whether the window holds one more retry."""
-        return self.used() + 1 <= self.allowed(floor_share)
+        return self.used() + 1 <= self.allowed(slack_share)
 
     def used(self) -> int:
         """Return the retries of the window, sent or reserved."""
         return len(self.retries) + self.reserved
 
-    def allowed(self, floor_share: float) -> float:
+    def allowed(self, slack_share: float) -> float:
         """Return the retries that the window may hold."""
-        earned = self.ratio * RATIO_PART * len(self.requests)
-        return earned + self.slack * FLOOR_PART * floor_share
+        earned = self.ratio * GATEWAY_RATIO_SHARE * len(self.requests)
+        return earned + self.slack * PREALLOCATED_SLACK_SHARE * slack_share
 
     def trim(self, now: float) -> None:
         """Drop what has left the window."""
--- a/src/_coltsfootroad/core/work.py
+++ b/src/_coltsfootroad/core/work.py
@@ -36,6 +36,6 @@
     late: bool = False
 
     @property
-    def waits_late(self) -> bool:
+    def is_late_waiting(self) -> bool:
         """Return whether it waits for its first event although it is late."""
         return self.late and self.leads and not self.writing
--- a/src/_coltsfootroad/core/workload.py
+++ b/src/_coltsfootroad/core/workload.py
@@ -7,10 +7,10 @@
 
 # A gateway that has been silent this long is dead or cut off; what it had
 # sent has ended with it or will not be heard of again.
-BELIEF_S = 2.5
+GATEWAY_TIMEOUT_S = 2.5
 MS = 1000
 # Stands for this gateway among the keys of all work.
-OWN = ""
+OWN_GATEWAY = ""
 
 
 @attrs.frozen
@@ -59,7 +59,7 @@
     """
 
     mark: tuple[int, int]
-    heard_at: float
+    received_at: float
     works: dict[int, work_lib.Work] = attrs.Factory(dict)
     prompts: set[int] = attrs.Factory(set)
 
@@ -81,7 +81,7 @@
     foreign: dict[str, ForeignWork] = attrs.Factory(dict)
     index: loadindex.LoadIndex = attrs.Factory(loadindex.LoadIndex)
     changed: dict[int, None] = attrs.Factory(dict)
-    told: set[int] = attrs.Factory(set)
+    published: set[int] = attrs.Factory(set)
     next_key: int = 1
 
     def add(self, work: work_lib.Work) -> int:
@@ -89,7 +89,7 @@
         key = self.next_key
         self.next_key += 1
         self.own[key] = work
-        self.touch(key)
+        self.mark_changed(key)
         return key
 
     def remove(self, key: int) -> None:
@@ -97,26 +97,26 @@
         work = self.own.pop(key, None)
         if work is None:
             return
-        self.index.drop((OWN, key), work)
-        if key in self.told:
-            self.told.remove(key)
+        self.index.drop((OWN_GATEWAY, key), work)
+        if key in self.published:
+            self.published.remove(key)
             self.changed[key] = None
         else:
             self.changed.pop(key, None)
 
-    def touch(self, key: int) -> None:
+    def mark_changed(self, key: int) -> None:
         """Note that own work has changed in place."""
         self.changed[key] = None
-        self.index.put((OWN, key), self.own[key])
+        self.index.put((OWN_GATEWAY, key), self.own[key])
 
-    def take_changes(self, full: bool, now: float) -> tuple[Change, ...]:
+    def collect_changes(self, full: bool, now: float) -> tuple[Change, ...]:
         """Return what the others do not know yet, or all work."""
         keys = list(self.own if full else self.changed)
         self.changed.clear()
-        self.told = set(self.own)
-        return tuple(self.change(key, now) for key in keys)
+        self.published = set(self.own)
+        return tuple(self.make_change(key, now) for key in keys)
 
-    def change(self, key: int, now: float) -> Change:
+    def make_change(self, key: int, now: float) -> Change:
         """Return what others are told of one piece of work."""
         work = self.own.get(key)
         if work is None:
@@ -136,7 +136,7 @@
             work.late,
         )
 
-    def take(self, summary: Summary, now: float) -> bool:
+    def apply_summary(self, summary: Summary, now: float) -> bool:
         """Take another gateway's summary unless a later one is known.
 
         A lost datagram leaves work unknown or forgotten too late, until the
@@ -148,15 +148,15 @@
             return False
         restarted = known is None or known.mark[0] != mark[0]
         if restarted or summary.full:
-            self.forget(summary.gateway)
+            self.drop_gateway(summary.gateway)
             known = self.foreign[summary.gateway] = ForeignWork(mark, now)
         known.mark = mark
-        known.heard_at = now
+        known.received_at = now
         for change in summary.changes:
-            self.take_change(summary.gateway, known, change, now)
+            self.apply_change(summary.gateway, known, change, now)
         return True
 
-    def take_change(
+    def apply_change(
         self, gateway: str, known: ForeignWork, change: Change, now: float
     ) -> None:
         """Take one change of another gateway's work."""
@@ -166,22 +166,22 @@
         if before is not None:
             self.index.drop(key, before)
         if change.endpoint:
-            work = known.works[change.key] = work_of(change, now)
+            work = known.works[change.key] = to_work(change, now)
             self.index.put(key, work)
         if change.endpoint and change.prompt_tokens:
             known.prompts.add(change.key)
 
-    def own_prompts(self) -> int:
+    def count_own_prompts(self) -> int:
         """Return how many prompts this gateway has at engines."""
         return sum(
             work.leads and work.prompt_tokens > 0 for work in self.own.values()
         )
 
-    def with_prompts(self) -> set[str]:
+    def gateways_with_prompts(self) -> set[str]:
         """Return the other gateways that have prompts at engines."""
         return {name for name, known in self.foreign.items() if known.prompts}
 
-    def forget(self, gateway: str) -> None:
+    def drop_gateway(self, gateway: str) -> None:
         """Forget all work of another gateway."""
         known = self.foreign.pop(gateway, None)
         if known is None:
@@ -192,15 +192,15 @@
     def expire(self, now: float) -> None:
         """Forget gateways that have been silent for long."""
         for name, known in list(self.foreign.items()):
-            if now - known.heard_at > BELIEF_S:
-                self.forget(name)
+            if now - known.received_at > GATEWAY_TIMEOUT_S:
+                self.drop_gateway(name)
 
     def at_endpoint(self, endpoint: str) -> list[work_lib.Work]:
         """Return all work at one endpoint."""
         return list(self.index.at(endpoint).works.values())
 
 
-def work_of(change: Change, now: float) -> work_lib.Work:
+def to_work(change: Change, now: float) -> work_lib.Work:
     """Return the work that a change tells of."""
     return work_lib.Work(
         endpoint=change.endpoint,
--- a/src/_coltsfootroad/gateway/admission.py
+++ b/src/_coltsfootroad/gateway/admission.py
@@ -66,7 +66,7 @@
     workspace: str
     deadline: float
     prompt: spread.Prompt | None
-    returned: bool
+    is_retry: bool
 
 
 @attrs.frozen
@@ -136,7 +136,7 @@
         deadline=request.arrived_at
         + min(stated_s - RETURN_MARGIN_S, route.timeout_s),
         prompt=prompt_of(request.headers.get(names.tokens, ""), route),
-        returned=stated_s < route.timeout_s - RETURNED_S,
+        is_retry=stated_s < route.timeout_s - RETURNED_S,
     )
 
 
--- a/src/_coltsfootroad/gateway/exchange.py
+++ b/src/_coltsfootroad/gateway/exchange.py
@@ -9,7 +9,7 @@
 from _coltsfootroad.core import routes
 from _coltsfootroad.core import sends as sends_lib
 from _coltsfootroad.core import shedding
-from _coltsfootroad.core import startshare
+from _coltsfootroad.core import startuplimit
 from _coltsfootroad.core import urgency
 from _coltsfootroad.gateway import admission
 from _coltsfootroad.gateway import answers
@@ -151,7 +151,7 @@
         if self.admitted.prompt is None:
             return choice.load < choice.endpoint.announcement.max_running
         gateways = len(self.gateway.view.rotation.current())
-        if self.gateway.load.own_prompts() >= startshare.allowed(
+        if self.gateway.load.count_own_prompts() >= startuplimit.max_prompts(
             choice.places, gateways
         ):
             return False
@@ -170,7 +170,7 @@
             if choice is None:
                 self.give_up(reason or "no endpoint serves the request now")
                 return
-            again_s = self.come_back_s(choice)
+            again_s = self.shed_retry_after_s(choice)
             if again_s is not None:
                 self.turn_away(choice, again_s)
                 return
@@ -191,9 +191,9 @@
     def rank(self, choice: engines.Choice, now: float) -> int:
         """Return the rank of a send at its engine."""
         waited_s = now - self.request.arrived_at
-        return urgency.of(self.route, waited_s, choice.predicted_s)
+        return urgency.engine_rank(self.route, waited_s, choice.predicted_s)
 
-    def come_back_s(self, choice: engines.Choice) -> float | None:
+    def shed_retry_after_s(self, choice: engines.Choice) -> float | None:
         """Return when to come back if the request is not to be sent now."""
         prompt = self.admitted.prompt
         if prompt is None or self.sends.count:
@@ -202,9 +202,9 @@
             prompt_tokens=prompt.prompt_tokens,
             predicted_s=choice.predicted_s,
             target_s=prompt.target_s,
-            returned=self.admitted.returned,
+            is_retry=self.admitted.is_retry,
         )
-        return shedding.come_back_s(
+        return shedding.shed_retry_after_s(
             candidate, choice.late_waiting, choice.places, self.gateway.rng
         )
 
--- a/src/_coltsfootroad/gateway/gossip.py
+++ b/src/_coltsfootroad/gateway/gossip.py
@@ -145,7 +145,7 @@
             return
         if wire.pass_on:
             self.pass_on(wire)
-        self.gateway.load.take(from_wire(wire), clocks.boot_time())
+        self.gateway.load.apply_summary(from_wire(wire), clocks.boot_time())
 
     def error_received(self, exc):
         """Note that a datagram could not be delivered."""
@@ -185,7 +185,7 @@
             return
         self.seq += 1
         settings = self.gateway.settings
-        changes = self.gateway.load.take_changes(full, clocks.boot_time())
+        changes = self.gateway.load.collect_changes(full, clocks.boot_time())
         if len(changes) > MAX_CHANGES:
             LOG.warning("summary cut", changes=len(changes))
         wire = to_wire(
@@ -198,14 +198,14 @@
             )
         )
         self.turn += full
-        copies = fanout.copies(
+        deliveries = fanout.deliveries(
             self.receivers(),
             settings.gateway,
             settings.availability_zone,
             self.turn,
         )
         for pass_on in (False, True):
-            to = [copy.to for copy in copies if copy.pass_on is pass_on]
+            to = [copy.to for copy in deliveries if copy.pass_on is pass_on]
             wire.pass_on = pass_on
             self.send_to(to, wire)
 
@@ -234,7 +234,7 @@
         """Return the gateways that are told."""
         view = self.gateway.view
         told = {member.entry for member in view.rotation.current()}
-        told |= self.gateway.load.with_prompts()
+        told |= self.gateway.load.gateways_with_prompts()
         told.discard(self.gateway.settings.gateway)
         return [
             member
--- a/src/_coltsfootroad/gateway/ownwork.py
+++ b/src/_coltsfootroad/gateway/ownwork.py
@@ -61,13 +61,13 @@
         if not work.writing:
             for key in self.keys:
                 load.own[key].writing = True
-                load.touch(key)
+                load.mark_changed(key)
             self.gateway.tell_peers()
             return True
         if pause_s > work.gap_target_s > 0:
             # Late already; nothing more is lost by further pauses.
             work.gap_target_s = 0.0
-            load.touch(self.keys[0])
+            load.mark_changed(self.keys[0])
         return False
 
 
--- a/src/_coltsfootroad/gateway/retryborrower.py
+++ b/src/_coltsfootroad/gateway/retryborrower.py
@@ -55,11 +55,11 @@
         self,
         service: str,
         budget: windowbudget.WindowBudget,
-        floor_share: float,
+        slack_share: float,
         now: float,
     ) -> None:
         """Ask for retries if the next one would be refused."""
-        if budget.has_room(floor_share) or budget.loans.left(now):
+        if budget.has_room(slack_share) or budget.loans.remaining(now):
             return
         state = self.services.setdefault(service, Borrowing())
         if state.is_asking or now < state.not_before:
@@ -77,7 +77,7 @@
         wanted: int,
     ) -> None:
         """Ask the leader once."""
-        asked_at = clocks.boot_time()
+        requested_at = clocks.boot_time()
         try:
             answer = await self.link.call(
                 retrylending.BorrowRetries(
@@ -96,7 +96,7 @@
             lent = retrylending.RetriesLent(
                 amount=0, retry_after_s=FAILURE_PAUSE_S
             )
-        budget.loans.add(lent.amount, asked_at + retryloans.LOAN_S)
+        budget.loans.add(lent.amount, requested_at + retryloans.LOAN_LIFETIME_S)
         pause_s = max(PAUSE_S, lent.retry_after_s)
         state.not_before = now + pause_s * self.rng.uniform(1.0, 1.0 + JITTER)
         LOG.info(
@@ -105,6 +105,6 @@
             wanted=wanted,
             amount=lent.amount,
             retry_after_s=round(lent.retry_after_s, 2),
-            took_s=round(now - asked_at, 3),
+            took_s=round(now - requested_at, 3),
             answer=type(answer).__name__,
         )
--- a/src/_coltsfootroad/gateway/sendbudget.py
+++ b/src/_coltsfootroad/gateway/sendbudget.py
@@ -25,16 +25,16 @@
 
     exchange: object
     arrivals: int = 0
-    retry: windowbudget.Retry | None = None
+    retry: windowbudget.RetryReservation | None = None
 
     @property
     def budget(self) -> windowbudget.WindowBudget:
         """Return the retry budget of the request's service."""
         return self.exchange.gateway.budget(self.exchange.service.name)
 
-    def floor_share(self, now: float) -> float:
+    def slack_share(self, now: float) -> float:
         """Return the gateway's settled part of the slack."""
-        return self.exchange.gateway.floor_share.least(now)
+        return self.exchange.gateway.slack_share.minimum(now)
 
     def may_go_on(self) -> bool:
         """Return whether the budget allows one more send."""
@@ -44,7 +44,7 @@
         """Hold a retry for the next send, if the budget has one."""
         if self.retry is not None:
             return True
-        share = self.floor_share(now)
+        share = self.slack_share(now)
         self.retry = self.budget.reserve(share, now)
         is_reserved = self.retry is not None
         self.exchange.gateway.retry_borrower.note_use(
@@ -60,7 +60,7 @@
             if not self.reserve(now):
                 return False
             retry, self.retry = self.retry, None
-            if not self.budget.charge(retry, self.floor_share(now), now):
+            if not self.budget.charge(retry, self.slack_share(now), now):
                 self.log("retry refused", now)
                 return False
         self.arrivals += 1
@@ -75,7 +75,7 @@
     def log(self, event: str, now: float) -> None:
         """Log a decision of the budget with what it was taken from."""
         exchange, budget = self.exchange, self.budget
-        share = self.floor_share(now)
+        share = self.slack_share(now)
         LOG.info(
             event,
             request=exchange.request_id,
@@ -86,7 +86,7 @@
             allowed=round(budget.allowed(share), 2),
             requests=len(budget.requests),
             share=round(share, 4),
-            lent=budget.loans.left(now),
+            lent=budget.loans.remaining(now),
             members=len(exchange.gateway.view.members),
             incarnation_age_s=round(now - exchange.gateway.started_at, 2),
         )
--- a/src/_coltsfootroad/gateway/server.py
+++ b/src/_coltsfootroad/gateway/server.py
@@ -8,10 +8,10 @@
 from _coltsfootroad.core import crashes
 from _coltsfootroad.core import endpointset
 from _coltsfootroad.core import isolation
+from _coltsfootroad.core import minimumshare
 from _coltsfootroad.core import registry
 from _coltsfootroad.core import routes
 from _coltsfootroad.core import routeview
-from _coltsfootroad.core import settledshare
 from _coltsfootroad.core import windowbudget
 from _coltsfootroad.core import workload
 from _coltsfootroad.gateway import crashdetector
@@ -92,7 +92,7 @@
         self.pools: dict[str, upstream.EndpointPool] = {}
         self.budgets: dict[str, windowbudget.WindowBudget] = {}
         # Others may act on older members until their proof is too old.
-        self.floor_share = settledshare.SettledShare(
+        self.slack_share = minimumshare.MinimumShare(
             settings.retry_window_s
             + settings.staleness_bound_s
             + windowbudget.ARRIVAL_LAG_S,
@@ -248,7 +248,7 @@
     def note_members(self) -> None:
         """Take what the members known now leave of limits that all share."""
         share = self.view.rotation.limit_share(self.settings.gateway)
-        self.floor_share.update(
+        self.slack_share.update(
             share, clocks.boot_time(), self.view.confirmed_at
         )
 
@@ -328,13 +328,13 @@
     def budgets_dump(self) -> dict[str, dict]:
         """Return what the retry budgets hold now, by service."""
         now = clocks.boot_time()
-        share = self.floor_share.least(now)
+        share = self.slack_share.minimum(now)
         return {
             service: {
                 "requests": len(budget.requests),
                 "used": budget.used(),
                 "allowed": budget.allowed(share),
-                "lent": budget.loans.left(now),
+                "lent": budget.loans.remaining(now),
                 "sent": budget.sent,
                 "refused": budget.refused,
             }
--- a/src/_coltsfootroad/gateway/watch.py
+++ b/src/_coltsfootroad/gateway/watch.py
@@ -108,9 +108,9 @@
 
     async def ask(self) -> bool:
         """Ask once; return whether there was an answer that helps."""
-        asked_at = clocks.boot_time()
+        requested_at = clocks.boot_time()
         before = self.choice.current
-        address = self.choice.choose(asked_at)
+        address = self.choice.choose(requested_at)
         if address != before:
             LOG.info("asks", address=address, before=before)
         # Held back, an answer proves no more than a quick one.
@@ -121,7 +121,7 @@
         found = answer.ok if answer.is_ok() else None
         if isinstance(found, watching.News):
             self.note_link(True, address)
-            self.take(question, found, asked_at)
+            self.take(question, found, requested_at)
             return True
         now = clocks.boot_time()
         if isinstance(found, watching.AskElsewhere):
@@ -180,7 +180,7 @@
         self.connected = connected
 
     def take(
-        self, question: watching.Watch, news: watching.News, asked_at: float
+        self, question: watching.Watch, news: watching.News, requested_at: float
     ) -> None:
         """Put the answer to a question in force."""
         gateway = self.gateway
@@ -215,7 +215,7 @@
         )
         if not self.take_routes(question, news):
             return
-        gateway.view.confirm(asked_at - news.proof_age_s)
+        gateway.view.confirm(requested_at - news.proof_age_s)
         gateway.note_members()
         gateway.start_up.on_news(news.registry_age_s, clocks.boot_time())
         if news.proof_age_s > relaychoice.BEHIND_S:
--- a/src/_coltsfootroad/gateway/watchdog.py
+++ b/src/_coltsfootroad/gateway/watchdog.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from _coltsfootroad.core import patience
+from _coltsfootroad.core import failoverdelay
 from _coltsfootroad.gateway import engines
 from _coltsfootroad.shell import clocks
 
@@ -71,7 +71,7 @@
             chooser = self.exchange.gateway.chooser
             reading_s = chooser.reading_s(self.choice.endpoint, engine, now)
             expected_s = max(expected_s, reading_s)
-        return patience.switch_after_s(self.exchange.route, expected_s)
+        return failoverdelay.failover_after_s(self.exchange.route, expected_s)
 
     def heard_of_restart_at(self) -> float:
         """Return when a later start of the endpoint was heard of."""
--- a/src/_coltsfootroad/replay/simcallers.py
+++ b/src/_coltsfootroad/replay/simcallers.py
@@ -95,8 +95,8 @@
             case actions.Emit():
                 record.data.append(action.chunk.data)
                 if record.first_token_s is None:
-                    asked_at = record.request.arrived_at
-                    record.first_token_s = now - asked_at + self.one_way_s
+                    requested_at = record.request.arrived_at
+                    record.first_token_s = now - requested_at + self.one_way_s
             case actions.Finish():
                 record.finished = True
                 record.answer = action.answer
--- a/src/_coltsfootroad/replay/simentries.py
+++ b/src/_coltsfootroad/replay/simentries.py
@@ -196,11 +196,11 @@
     def sync(self, entry: processes.SimEntry, core) -> None:
         """Send one heartbeat."""
         self.heartbeats += 1
-        asked_at = self.network.now
-        request = core.sync_request(member_of(entry), asked_at)
+        requested_at = self.network.now
+        request = core.sync_request(member_of(entry), requested_at)
 
         def reply(answer: messages.SyncReply) -> None:
-            self.run_core(entry, core.on_sync, request, answer, asked_at)
+            self.run_core(entry, core.on_sync, request, answer, requested_at)
 
         self.ask_control(entry, request, reply)
 
--- a/src/_coltsfootroad/shell/entryserver.py
+++ b/src/_coltsfootroad/shell/entryserver.py
@@ -378,8 +378,8 @@
 
     async def sync_once(self) -> None:
         """Send one heartbeat and take its answer."""
-        asked_at = self.loop.time()
-        request = self.core.sync_request(self.member, asked_at)
+        requested_at = self.loop.time()
+        request = self.core.sync_request(self.member, requested_at)
         answer = await self.control.call(request, SYNC_TIMEOUT_S)
         if answer.is_error():
             LOG.warning("heartbeat failed: {}", answer.error.message)
@@ -389,7 +389,11 @@
             return
         version = self.core.freshness.version
         self.run(
-            self.core.on_sync, request, answer.ok, asked_at, self.loop.time()
+            self.core.on_sync,
+            request,
+            answer.ok,
+            requested_at,
+            self.loop.time(),
         )
         self.notes.follow(self.core.freshness.members)
         if self.core.freshness.version != version:
--- a/src/_coltsfootroad/shell/parsing.py
+++ b/src/_coltsfootroad/shell/parsing.py
@@ -90,7 +90,7 @@
         return bad(
             f"header {KEY_HEADER} is {key!r}; it must start with unix"
             " seconds and '-' or be a UUID of version 7, to show its age",
-            errors.ErrorCode.KEY_REQUIRED_AGE,
+            errors.ErrorCode.KEY_WITHOUT_AGE,
         )
     deadline = read_number(headers, DEADLINE_HEADER, float)
     priority = read_number(headers, PRIORITY_HEADER, int)
--- a/src/_coltsfootroad/shell/relayloop.py
+++ b/src/_coltsfootroad/shell/relayloop.py
@@ -73,8 +73,8 @@
     async def ask(self, wait_s: float) -> bool:
         """Ask once; return whether a leader answered."""
         self.link.learn(self.replicas())
-        asked_at = clocks.boot_time()
-        question = self.mirror.question(asked_at, wait_s)
+        requested_at = clocks.boot_time()
+        question = self.mirror.question(requested_at, wait_s)
         answer = await self.link.call(question, wait_s + TRAVEL_S)
         news = answer.ok if answer.is_ok() else None
         if self.leads() or not isinstance(news, watching.News):
@@ -82,7 +82,7 @@
             return False
         self.note_link(True, news.epoch)
         before = (self.mirror.book.last_mark, self.mirror.routes.version)
-        self.mirror.take(question, news, asked_at, clocks.boot_time())
+        self.mirror.take(question, news, requested_at, clocks.boot_time())
         self.link.learn(news.replicas)
         if before != (self.mirror.book.last_mark, self.mirror.routes.version):
             self.on_news()
