--- a/src/_coltsfootroad/core/actions.py
+++ b/src/_coltsfootroad/core/actions.py
@@ -1,4 +1,4 @@
-"""What the entry core asks the shell to do."""
+"""Actions that the entry core returns and the shell performs."""
 
 import attrs
 
@@ -8,10 +8,10 @@
 
 @attrs.frozen(kw_only=True)
 class Part:
-    """The share of one engine in a dispatch; groups have several.
+    """The part of a dispatch for one engine; a group has several.
 
-    `mark` numbers this entry's dispatches to the endpoint; load reports
-    name the last one that they contain.
+    `mark` numbers this entry's dispatches to the endpoint. A load report names
+    the last mark that it includes.
     """
 
     endpoint: str
@@ -28,9 +28,9 @@
     Attributes:
         request: The request itself.
         attempt: Number of the attempt, from 1.
-        parts: One part per engine; the first is the leader that answers.
-        priority: Engine priority, 0 served first.
-        resume_offset: Tokens that the caller has already received.
+        parts: One part per engine; the engine of the first one answers.
+        priority: Engine priority, 0 is served first.
+        resume_offset: Number of tokens that the caller has received already.
         deadline_at: Seconds on the entry's clock.
     """
 
@@ -49,10 +49,11 @@
 
 @attrs.frozen(kw_only=True)
 class DispatchNote:
-    """What other entries are told of a dispatch, at once.
+    """Notifies the other entries of a dispatch at once.
 
-    Load reports come a second late; two entries would send to the same idle
-    engine meanwhile. `mark` settles whether a report contains it already.
+    Load reports arrive up to a second later; until then two entries would send
+    to the same idle engine. `mark` shows whether a report includes the
+    dispatch.
     """
 
     owner: str
@@ -65,7 +66,7 @@
 
 @attrs.frozen(kw_only=True)
 class Cancel:
-    """Tell an endpoint to drop an attempt; repeated until confirmed."""
+    """Cancel an attempt at an endpoint; repeated until confirmed."""
 
     endpoint: str
     request_id: str
@@ -74,7 +75,7 @@
 
 @attrs.frozen(kw_only=True)
 class Reprioritise:
-    """Change the priority of an attempt that waits at an engine."""
+    """Change the priority of an attempt that is queued at an engine."""
 
     endpoint: str
     request_id: str
@@ -84,17 +85,17 @@
 
 @attrs.frozen(kw_only=True)
 class TakeClaim:
-    """Ask the control state for the right to run a key."""
+    """Request the claim of an idempotency key from the control plane."""
 
     request: request_lib.Request
 
 
 @attrs.frozen(kw_only=True)
 class SettleClaim:
-    """Tell the control state how a claimed key ended.
+    """Report the outcome of a claimed request to the control plane.
 
-    `ran` is `NO` when the key may be claimed again, `YES` with the answer,
-    `UNKNOWN` when nothing can be proved.
+    `ran` is `NO` if the key may be claimed again, `YES` with the answer, and
+    `UNKNOWN` if the request may have run.
     """
 
     request: request_lib.Request
@@ -104,7 +105,7 @@
 
 @attrs.frozen(kw_only=True)
 class ReserveGroup:
-    """Reserve memory on several engines, all or nothing, or renew it."""
+    """Reserve memory on all engines of a group or none, or renew the lease."""
 
     group: str
     service: str
@@ -115,14 +116,14 @@
 
 @attrs.frozen(kw_only=True)
 class ReleaseGroup:
-    """End a group's reservation."""
+    """Release a group's reservation."""
 
     group: str
 
 
 @attrs.frozen(kw_only=True)
 class Emit:
-    """Hand a new piece of the answer to the caller."""
+    """Send a chunk of the answer to the caller."""
 
     request_id: str
     chunk: request_lib.Chunk
@@ -130,7 +131,7 @@
 
 @attrs.frozen(kw_only=True)
 class Finish:
-    """Tell the caller that its answer is whole."""
+    """Complete the caller's request; `answer` is None after a stream."""
 
     request_id: str
     answer: request_lib.Answer | None = None
@@ -138,7 +139,7 @@
 
 @attrs.frozen(kw_only=True)
 class Fail:
-    """Give the caller its final failure."""
+    """End the caller's request with its final failure."""
 
     request_id: str
     failure: errors.Failure
--- a/src/_coltsfootroad/core/addresses.py
+++ b/src/_coltsfootroad/core/addresses.py
@@ -1,4 +1,4 @@
-"""Which entries callers are told to use."""
+"""Chooses the entries that callers should use."""
 
 import attrs
 
@@ -11,18 +11,18 @@
 
 @attrs.frozen(kw_only=True)
 class Member:
-    """One entry as the control state knows it.
+    """One entry as known to the control plane.
 
     Attributes:
         entry: Name of the entry.
-        incarnation: Grows with every start.
+        incarnation: Number that grows with every start.
         address: `ip:port` for callers.
         peer_address: `ip:port` for other processes of the system.
-        availability_zone: Where it runs.
+        availability_zone: Availability zone in which it runs.
         leaving: Whether it is draining.
         load: Requests in flight at its last heartbeat.
         config_version: Version in force at its last heartbeat.
-        short_loads: Engines that its short prompts keep busy, per service.
+        short_loads: Number of engines busy with its short prompts, by service.
     """
 
     entry: str
@@ -47,21 +47,21 @@
 def rank(member: Member, caller: str, zone: str) -> float:
     """Return a weighted rendezvous score; larger is better.
 
-    Rendezvous hashing spreads callers evenly and moves only the callers of
-    an entry that leaves. The load divides the weight, so that an entry that
-    is behind gets fewer callers.
+    Rendezvous hashing spreads callers evenly and, when an entry leaves, moves
+    only the callers of that entry. The load divides the weight, so that a
+    loaded entry gets fewer callers.
     """
     digest = hashing.stable_hash(member.entry, caller)
     fraction = (digest + 1) / (2**64 + 1)
-    near = bool(zone) and member.availability_zone == zone
-    weight = SAME_ZONE_WEIGHT if near else OTHER_ZONE_WEIGHT
+    is_same_zone = bool(zone) and member.availability_zone == zone
+    weight = SAME_ZONE_WEIGHT if is_same_zone else OTHER_ZONE_WEIGHT
     return fraction ** ((1.0 + member.load / 100.0) / weight)
 
 
 def answer(
     members: tuple[Member, ...], caller: str, zone: str, valid_for_s: float
 ) -> AddressAnswer:
-    """Return the entries for a caller, best first; none that is leaving."""
+    """Return the entries for a caller, best first, without draining ones."""
     usable = [m for m in members if not m.leaving]
     usable.sort(key=lambda m: rank(m, caller, zone), reverse=True)
     chosen = tuple(m.address for m in usable[:MAX_ADDRESSES])
--- a/src/_coltsfootroad/core/admission.py
+++ b/src/_coltsfootroad/core/admission.py
@@ -1,4 +1,4 @@
-"""Decides at arrival whether a request can be served in its bound."""
+"""Decides at arrival whether a request can be served by its deadline."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 from _coltsfootroad.core import pool as pool_lib
 from _coltsfootroad.core import request as request_lib
 
-# Part of the allowed output that answers use on average until learned.
+# Average share of the output limit that answers use, until it is learned.
 INITIAL_OUTPUT_SHARE = 0.25
 SMOOTHING = 0.05
 ENTRY_RETRY_S = 1.0
@@ -20,12 +20,12 @@
 
 @attrs.define
 class OutputShare:
-    """Learns how much of the allowed output answers really use."""
+    """Learns which share of their output limit answers use on average."""
 
     share: float = INITIAL_OUTPUT_SHARE
 
     def observe(self, allowed: int, used: int) -> None:
-        """Learn from a finished answer."""
+        """Update the share from a finished answer; both are in tokens."""
         if allowed > 0:
             seen = min(used / allowed, 1.0)
             self.share += SMOOTHING * (seen - self.share)
@@ -34,14 +34,14 @@
 def refuse(
     code: errors.ErrorCode, message: str, retry_after_s: float | None = None
 ) -> errors.Failure:
-    """Return a refusal of work that provably did not run."""
+    """Return the failure of a request that provably did not run."""
     return errors.Failure(code, message, errors.Ran.NO, retry_after_s)
 
 
 def check_rights(
     request: request_lib.Request, config: config_lib.Config
 ) -> errors.Failure | None:
-    """Return why configuration forbids a request, or None."""
+    """Return a refusal if the configuration forbids a request, or None."""
     service = config.services.get(request.service)
     if service is None:
         return refuse(
@@ -66,7 +66,7 @@
 def check_size(
     request: request_lib.Request, service: config_lib.Service
 ) -> errors.Failure | None:
-    """Return why a request is too large for its service, or None."""
+    """Return a refusal if a request is too large for its service, or None."""
     if request.prompt_tokens > service.max_prompt_tokens:
         return refuse(
             errors.ErrorCode.PROMPT_TOO_LONG,
@@ -85,7 +85,7 @@
 def check_capacity(
     request: request_lib.Request, pool: pool_lib.ServicePool
 ) -> errors.Failure | None:
-    """Return why no endpoint can ever hold a request, or None."""
+    """Return a refusal if no endpoint or group can hold a request, or None."""
     if not pool.serving_count():
         return refuse(
             errors.ErrorCode.NO_ENDPOINT,
@@ -107,14 +107,14 @@
 def queue_wait_s(
     queue: fairqueue.FairQueue, band: int, pool: pool_lib.ServicePool
 ) -> float:
-    """Return the predicted wait behind this entry's own queue."""
+    """Return the predicted seconds a request waits in this entry's queue."""
     if not queue.size:
         return 0.0
     names = pool.clean.names or pool.dirty.names
     if not names:
         return 0.0
     rate = pool.views[names[0]].speed.prefill_rate * pool.serving_count()
-    # Engines are shared with the other entries, which wait as well.
+    # The other entries have queues of their own for the same engines.
     rate /= max(pool.entry_count, 1)
     return queue.tokens_ahead(band) / max(rate, 1.0)
 
@@ -124,7 +124,7 @@
     predicted_s: float,
     now: float,
 ) -> errors.Failure | None:
-    """Return a refusal if the predicted finish is past the deadline."""
+    """Return a refusal if the predicted finish is too late, or None."""
     left_s = request.deadline_at - now
     if predicted_s <= left_s:
         return None
@@ -139,21 +139,21 @@
 def check_rate(
     request: request_lib.Request, meter: limits.WorkspaceMeter, now: float
 ) -> errors.Failure | None:
-    """Return a refusal if the rate leaves no turn before the deadline.
+    """Return a refusal if the rate limit blocks a request past its deadline.
 
-    Waiting for it would only end at the deadline; the caller is told at
-    once when to come back.
+    Such a request would only time out in the queue. Refusing it at once tells
+    the caller when to retry.
     """
     if not meter.has_lease(now):
         return None
-    turn_at = meter.refill_at(now)
-    if turn_at <= request.deadline_at:
+    refill_at = meter.refill_at(now)
+    if refill_at <= request.deadline_at:
         return None
     return refuse(
         errors.ErrorCode.RATE_LIMITED,
         f"workspace {request.workspace!r} is over its rate for another"
-        f" {turn_at - now:.1f} s, past the deadline",
-        round(turn_at - now, 1),
+        f" {refill_at - now:.1f} s, past the deadline",
+        round(refill_at - now, 1),
     )
 
 
@@ -163,7 +163,7 @@
     service: config_lib.Service,
     wait_s: float,
 ) -> errors.Failure | None:
-    """Return a refusal if the service's queue is full."""
+    """Return a refusal if the service's queue is full, or None."""
     if queue.size < service.max_queue:
         return None
     return refuse(
--- a/src/_coltsfootroad/core/attempts.py
+++ b/src/_coltsfootroad/core/attempts.py
@@ -1,4 +1,4 @@
-"""What becomes of attempts: progress, failure, retry, the end."""
+"""Follows dispatched attempts: progress, failure, retry and completion."""
 
 import attrs
 
@@ -21,12 +21,12 @@
 
 @attrs.define
 class Attempts(interfaces.AttemptsInterface):
-    """The part of the entry core from the first chunk to the end."""
+    """Handles attempts from their dispatch to the end of the request."""
 
     core: interfaces.AttemptContext
 
     def record_progress(self, flight: flights_lib.Flight, now: float) -> None:
-        """Learn from a chunk's timing and push the timeout back."""
+        """Update speed estimates from a chunk and extend the timeout."""
         flight.progress_at = now
         self.core.flights.arm(flight, now + STREAM_IDLE_S)
         key = (flight.request_id, flight.attempt)
@@ -47,7 +47,7 @@
     def emit(
         self, flight: flights_lib.Flight, chunk: request_lib.Chunk
     ) -> None:
-        """Hand a piece to the caller and keep it for the claim."""
+        """Send a chunk to the caller; keep its data if a claim stores it."""
         if flight.request.needs_claim:
             flight.answer_parts.append(chunk.data)
         self.core.out.append(
@@ -57,10 +57,11 @@
     def running_flight(
         self, request_id: str, attempt: int
     ) -> flights_lib.Flight | None:
-        """Return a flight whose current attempt this is and still runs.
+        """Return the flight whose current attempt this is, if it is running.
 
-        An attempt that was given up keeps its number until the next one
-        begins; its endpoint may hold memory for it meanwhile.
+        An abandoned attempt keeps its number until the next one starts, so the
+        number alone does not show that it is running. Its endpoint may still
+        hold memory for it.
         """
         flight = self.core.flights.get(request_id)
         if flight is None or flight.attempt != attempt:
@@ -71,7 +72,7 @@
     def release_work(
         self, endpoint: str, key: endpoints.WorkKey, now: float
     ) -> None:
-        """Forget a piece of work whose memory is free."""
+        """Remove an attempt from an endpoint that has freed its memory."""
         self.core.releaser.confirmed(endpoint, key)
         view = self.core.view(endpoint)
         if view is None:
@@ -88,7 +89,7 @@
         fault: Fault,
         now: float,
     ) -> None:
-        """Retry a failed attempt where that is safe, else fail."""
+        """Retry a failed attempt if that is safe, else fail its request."""
         outliers = self.core.pool(flight.request.service).outliers
         if fault is Fault.NOT_SENT:
             outliers.on_refused(endpoint, now)
@@ -120,10 +121,10 @@
     def release_parts(
         self, flight: flights_lib.Flight, now: float, freed: bool
     ) -> None:
-        """Free the memory of the current attempt on all its engines.
+        """Release the memory of the current attempt on all its engines.
 
-        `freed` says that the engines hold nothing; otherwise each part is
-        cancelled until its engine confirms.
+        With `freed` the engines are known to hold none. Otherwise cancels are
+        sent to each engine until it confirms.
         """
         key = (flight.request_id, flight.attempt)
         for part in flight.parts:
@@ -145,7 +146,7 @@
         answer: request_lib.Answer | None,
         now: float,
     ) -> None:
-        """End a flight whose answer is whole."""
+        """End a flight whose answer is complete."""
         self.observe_answer(flight, now)
         leader = flight.parts[0].endpoint
         key = (flight.request_id, flight.attempt)
@@ -154,14 +155,14 @@
         self.release_parts(flight, now, freed=False)
         request = flight.request
         if flight.claim_granted:
-            whole = answer or request_lib.Answer(
+            stored = answer or request_lib.Answer(
                 status=200,
                 body=b"".join(flight.answer_parts),
                 content_type=claiming.STREAM_CONTENT_TYPE,
             )
             self.core.out.append(
                 actions.SettleClaim(
-                    request=request, ran=errors.Ran.YES, answer=whole
+                    request=request, ran=errors.Ran.YES, answer=stored
                 )
             )
         self.core.counters.finished += 1
@@ -171,7 +172,7 @@
         )
 
     def observe_answer(self, flight: flights_lib.Flight, now: float) -> None:
-        """Learn decode speed and output length from a whole answer."""
+        """Update decode speed and output share from a complete answer."""
         tokens = flight.stream.next_offset
         if flight.first_token_at is None or tokens < 2:
             return
@@ -187,7 +188,7 @@
         failure: errors.Failure,
         now: float,
     ) -> None:
-        """End a flight with its final failure, at once."""
+        """End a flight with its final failure."""
         ran = may_have_run(flight)
         if failure.ran is errors.Ran.NO and ran is not errors.Ran.NO:
             failure = attrs.evolve(failure, ran=ran)
@@ -203,7 +204,7 @@
         )
 
     def end(self, flight: flights_lib.Flight, used: int, now: float) -> None:
-        """Take a flight out of every table."""
+        """Remove a flight from every table; `used` is its output tokens."""
         request = flight.request
         self.core.dispatcher.queue(request.service).remove(request)
         meter = self.core.limits.meter(request.workspace)
@@ -217,14 +218,14 @@
 
 
 def may_have_run(flight: flights_lib.Flight) -> errors.Ran:
-    """Return what can be said of the work of a flight that failed."""
+    """Return whether the work of a failed flight may have run."""
     return errors.Ran.UNKNOWN if flight.may_have_run else errors.Ran.NO
 
 
 def endpoint_failed(
     endpoint: str, ran: errors.Ran = errors.Ran.UNKNOWN
 ) -> errors.Failure:
-    """Return the failure of a request whose attempts were lost."""
+    """Return the failure of a request whose last attempt failed."""
     return errors.Failure(
         errors.ErrorCode.ENDPOINT_FAILED,
         f"endpoint {endpoint!r} failed before the answer was whole",
@@ -234,7 +235,7 @@
 
 
 def deadline_exceeded(flight: flights_lib.Flight) -> errors.Failure:
-    """Return the failure of a request whose time is over."""
+    """Return the failure of a request whose deadline has passed."""
     return errors.Failure(
         errors.ErrorCode.DEADLINE_EXCEEDED,
         f"the deadline passed while the request was {flight.state.value}",
@@ -243,7 +244,7 @@
 
 
 def no_endpoint(flight: flights_lib.Flight) -> errors.Failure:
-    """Return the failure of a request that no endpoint is left for."""
+    """Return the failure of a request whose service has no endpoint left."""
     return errors.Failure(
         errors.ErrorCode.NO_ENDPOINT,
         f"no endpoint serves {flight.request.service!r} any more",
@@ -253,7 +254,7 @@
 
 
 def caller_gone() -> errors.Failure:
-    """Return the failure of a request that nobody waits for."""
+    """Return the failure of a request whose caller has disconnected."""
     return errors.Failure(
         errors.ErrorCode.CALLER_GONE, "the caller closed the connection"
     )
--- a/src/_coltsfootroad/core/backlog.py
+++ b/src/_coltsfootroad/core/backlog.py
@@ -1,4 +1,4 @@
-"""Announcements of endpoints that a leader may lack, sent a page at a time."""
+"""Endpoint announcements that a leader may lack, sent in pages."""
 
 from collections.abc import Iterable
 import itertools
@@ -7,8 +7,8 @@
 
 from _coltsfootroad.core import registry
 
-# Most announcements of one request: what is sent again after a lost response
-# stays bounded, whatever the number of endpoints.
+# Announcements per request. It bounds what is sent again after a lost response,
+# regardless of the number of endpoints.
 MAX_PAGE_ANNOUNCEMENTS = 500
 
 
@@ -17,13 +17,13 @@
     """Keeps the newest announcement of each endpoint until it is delivered.
 
     Attributes:
-        pending: What has not been delivered, by endpoint.
+        pending: Undelivered announcements by endpoint.
     """
 
     pending: dict[str, registry.Announcement] = attrs.Factory(dict)
 
     def add(self, announcement: registry.Announcement) -> None:
-        """Queue an announcement, unless a later one is queued."""
+        """Queue an announcement unless a newer one is queued."""
         known = self.pending.get(announcement.endpoint)
         if known is None or registry.is_newer(announcement, known):
             self.pending[announcement.endpoint] = announcement
@@ -34,7 +34,7 @@
             self.add(announcement)
 
     def refresh(self, current: Iterable[registry.Announcement]) -> None:
-        """Replace what is queued by what is known now; drop the rest."""
+        """Replace queued announcements by current ones; drop the others."""
         self.pending = {
             announcement.endpoint: announcement
             for announcement in current
@@ -42,13 +42,16 @@
         }
 
     def page(self) -> tuple[registry.Announcement, ...]:
-        """Return what the next request carries."""
+        """Return the announcements of the next request."""
         return tuple(
             itertools.islice(self.pending.values(), MAX_PAGE_ANNOUNCEMENTS)
         )
 
     def settle(self, delivered: Iterable[registry.Announcement]) -> None:
-        """Forget what a request that was answered has carried."""
+        """Remove the announcements that an answered request has delivered.
+
+        An announcement that was replaced meanwhile stays queued.
+        """
         for announcement in delivered:
             if self.pending.get(announcement.endpoint) == announcement:
                 del self.pending[announcement.endpoint]
--- a/src/_coltsfootroad/core/calls.py
+++ b/src/_coltsfootroad/core/calls.py
@@ -1,11 +1,11 @@
-"""Turns actions of the entry core into calls to the control state."""
+"""Converts actions of the entry core into calls to the control plane."""
 
 from _coltsfootroad.control import messages
 from _coltsfootroad.core import actions
 
 
 def claim_call(action: actions.TakeClaim, now: float) -> messages.TakeClaim:
-    """Return the call that takes a claim; its lease ends at the deadline."""
+    """Return the call that takes a claim, leased until the deadline."""
     request = action.request
     return messages.TakeClaim(
         workspace=request.workspace,
--- a/src/_coltsfootroad/core/claiming.py
+++ b/src/_coltsfootroad/core/claiming.py
@@ -1,4 +1,4 @@
-"""Takes the durable claim of a non-idempotent request before dispatch."""
+"""Claims the idempotency key of a non-idempotent request before dispatch."""
 
 from _coltsfootroad.control import messages
 from _coltsfootroad.core import actions
@@ -10,7 +10,7 @@
 
 CLAIM_RETRY_S = 0.5
 MAX_CLAIM_TRIES = 6
-# Content type under which the joined text of an engine's answer is stored.
+# Content type of stored engine answers, the joined data of their chunks.
 STREAM_CONTENT_TYPE = "text/x-engine-output"
 
 Status = messages.ClaimStatus
@@ -52,7 +52,7 @@
 def begin(
     core: interfaces.ClaimContext, flight: flights.Flight, now: float
 ) -> None:
-    """Ask for the claim and wait for its answer."""
+    """Request the claim and arm the timer for its answer."""
     flight.state = flights.FlightState.CLAIMING
     flight.claim_tries += 1
     core.out.append(actions.TakeClaim(request=flight.request))
@@ -62,7 +62,7 @@
 def retry(
     core: interfaces.ClaimContext, flight: flights.Flight, now: float
 ) -> None:
-    """Ask again, with the same token, or give up."""
+    """Request the claim again with the same token, or fail the flight."""
     if flight.claim_tries < MAX_CLAIM_TRIES:
         begin(core, flight, now)
         return
@@ -80,15 +80,15 @@
     answer: messages.ClaimAnswer,
     now: float,
 ) -> None:
-    """Go on by what the control state said of the key."""
+    """Enqueue, answer or fail a flight by the status of its claim."""
     if flight.state is not flights.FlightState.CLAIMING:
-        # A repeated answer; the first one has been acted upon.
+        # A duplicate of an answer that was handled before.
         return
     if answer.status is Status.GRANTED:
         flight.claim_granted = True
         core.enqueue(flight, now)
         return
-    # The key is somebody else's: this flight must not settle it.
+    # Another request holds the key, so this flight must not settle the claim.
     flight.claim_tries = 0
     if answer.status is Status.DONE:
         return_stored_answer(core, flight, answer.answer, now)
@@ -107,7 +107,7 @@
     answer: request_lib.Answer,
     now: float,
 ) -> None:
-    """Answer a resend with what the first run answered."""
+    """Answer a resend with the stored answer of the first run."""
     core.counters.finished += 1
     core.attempts.end(flight, 0, now)
     core.out.append(actions.Finish(request_id=flight.request_id, answer=answer))
--- a/src/_coltsfootroad/core/config.py
+++ b/src/_coltsfootroad/core/config.py
@@ -1,4 +1,4 @@
-"""The fleet configuration document and its checks."""
+"""The fleet configuration document and its validation."""
 
 import enum
 import json
@@ -18,14 +18,14 @@
 
 
 class Objective(enum.Enum):
-    """What routing optimizes for a service."""
+    """The objective that routing optimizes for a service."""
 
     SHORT_SLOWDOWN = "short_slowdown"
     TTFT_ALL_LENGTHS = "ttft_all_lengths"
 
 
 def check_key_hashes(_, attribute, value) -> None:
-    """Reject anything that is not a SHA-256 in lower-case hex."""
+    """Raise ValueError for values that are not SHA-256 in lower-case hex."""
     for item in value:
         hexadecimal = all(c in "0123456789abcdef" for c in item)
         if len(item) != HEX_SHA256_LENGTH or not hexadecimal:
@@ -40,14 +40,14 @@
 
     Attributes:
         kind: Engine or plain.
-        objective: What routing optimizes; engines only.
+        objective: Objective of routing; for engines only.
         model: Model that engines of this service must have loaded.
-        max_queue: Requests that one entry holds waiting.
-        default_deadline_s: Bound of requests that name none.
-        max_deadline_s: Largest bound that a request may name.
-        max_prompt_tokens: Longest prompt admitted.
-        max_output_tokens: Most tokens a request may ask for.
-        max_body_bytes: Largest body accepted.
+        max_queue: Maximum number of requests queued at one entry.
+        default_deadline_s: Deadline of requests that do not state one.
+        max_deadline_s: Longest deadline that a request may state.
+        max_prompt_tokens: Longest prompt that is admitted.
+        max_output_tokens: Most output tokens that a request may allow.
+        max_body_bytes: Largest body that is accepted.
     """
 
     kind: servicekind.ServiceKind = servicekind.ServiceKind.ENGINE
@@ -78,12 +78,12 @@
     """Settings of one workspace; limits hold for the whole fleet.
 
     Attributes:
-        key_sha256: Hashes of the API keys that may act for it.
+        key_sha256: Hashes of the API keys of the workspace.
         services: Services that it may use.
-        weight: Share under contention, in the fair queue.
+        weight: Weight in the fair queue.
         priority: 0 (most urgent) to 9.
-        tokens_per_s: Fleet-wide rate in tokens per second, none if null.
-        concurrency: Fleet-wide requests in flight, none if null.
+        tokens_per_s: Fleet-wide rate in tokens per second, no limit if null.
+        concurrency: Fleet-wide requests in flight, no limit if null.
     """
 
     key_sha256: tuple[str, ...] = attrs.field(
@@ -109,7 +109,7 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointKind:
-    """How endpoints whose name starts with `prefix` treat orders."""
+    """Whether endpoints with a name prefix check fencing tokens of orders."""
 
     prefix: str
     checks_fencing: bool = False
@@ -120,10 +120,11 @@
     """Settings of the fleet as a whole.
 
     Attributes:
-        address_validity_s: How long callers may keep an address answer.
-        staleness_bound_s: How old an entry's proof of currency may be.
-        endpoint_lease_s: How long an announcement lasts without renewal.
-        key_retention_s: Oldest idempotency key that is admitted.
+        address_validity_s: How long callers may use an address answer.
+        staleness_bound_s: Age of an entry's newest proof that its
+            configuration is current, past which it fences itself.
+        endpoint_lease_s: How long an announcement is valid without renewal.
+        key_retention_s: Age of the oldest idempotency key that is admitted.
     """
 
     address_validity_s: float = attrs.field(
@@ -142,7 +143,7 @@
 
 @attrs.frozen(kw_only=True)
 class Config:
-    """The whole configuration of one version."""
+    """The complete configuration of one version."""
 
     services: dict[str, Service] = attrs.Factory(dict)
     workspaces: dict[str, Workspace] = attrs.Factory(dict)
@@ -153,7 +154,7 @@
 
 @attrs.frozen(kw_only=True)
 class ModelPlacement:
-    """Desired copies of a model over the engines of a service."""
+    """Desired number of engines of a service that have a model loaded."""
 
     service: str
     copies: int = attrs.field(default=1, validator=documents.check_positive)
@@ -164,7 +165,7 @@
 
 
 def merge_patch(target: object, patch: object) -> object:
-    """Return `target` changed by a JSON Merge Patch (RFC 7396)."""
+    """Return `target` with a JSON Merge Patch (RFC 7396) applied."""
     if not isinstance(patch, dict):
         return patch
     merged = dict(target) if isinstance(target, dict) else {}
@@ -177,18 +178,18 @@
 
 
 def invalid(message: str) -> Result[Config, errors.Failure]:
-    """Return the refusal of a document."""
+    """Return the failure of an invalid document."""
     return Error(errors.Failure(errors.ErrorCode.INVALID_CONFIG, message))
 
 
 def parse(document: object) -> Result[Config, errors.Failure]:
-    """Check a JSON document and return it as a `Config`."""
+    """Validate a JSON document and return it as a `Config`."""
     if len(json.dumps(document)) > MAX_DOCUMENT_BYTES:
         return invalid(f"config is larger than {MAX_DOCUMENT_BYTES} bytes")
     try:
         config = documents.CONVERTER.structure(document, Config)
     except Exception as error:  # pylint: disable=broad-except
-        # cattrs raises groups of whatever the hooks and validators raise.
+        # cattrs raises exception groups of any errors of hooks and validators.
         return invalid(documents.explain(error))
     for name, workspace in config.workspaces.items():
         for service in workspace.services:
--- a/src/_coltsfootroad/core/counters.py
+++ b/src/_coltsfootroad/core/counters.py
@@ -1,11 +1,11 @@
-"""What an entry counts."""
+"""Counters of an entry, exported as metrics."""
 
 import attrs
 
 
 @attrs.define
 class Counters:
-    """Counts for metrics; they only grow."""
+    """Monotonic counters of requests and attempts."""
 
     admitted: int = 0
     refused: int = 0
--- a/src/_coltsfootroad/core/dispatcher.py
+++ b/src/_coltsfootroad/core/dispatcher.py
@@ -1,4 +1,8 @@
-"""Queues, routes and sends; reserves groups for the longest prompts."""
+"""Dispatches queued requests to endpoints.
+
+A prompt that exceeds the memory of one engine is split over a group of
+engines, whose memory is reserved before the request is sent.
+"""
 
 import attrs
 
@@ -17,13 +21,14 @@
 from _coltsfootroad.core import request as request_lib
 from _coltsfootroad.core import servicekind
 
-# Heads that are tried in vain per pump before the rest must wait.
+# Requests that may fail to be sent in one dispatch pass before it stops.
 MAX_FAILED_TRIES = 16
-# Choices made to get away from where a request failed before.
+# Choices made per send to avoid endpoints at which the request failed before.
 MAX_CHOICES = 3
 GROUP_RETRY_S = 0.2
 GROUP_RENEW_S = 3.0
-# Ageing lifts a waiting prompt one band, and never to the short ones.
+# Lowest band that ageing assigns: an aged prompt never competes with the
+# short prompts of band 0.
 MIN_RAISED_BAND = 1
 RAISE_PRIORITY_AFTER_S = 20.0
 DEFAULT_WEIGHT = 1.0
@@ -31,7 +36,7 @@
 
 @attrs.define
 class Dispatcher(interfaces.DispatcherInterface):
-    """The part of the entry core between admission and endpoint."""
+    """Moves admitted requests from their queues to endpoints."""
 
     core: interfaces.DispatchContext
     queues: dict[str, fairqueue.FairQueue] = attrs.Factory(dict)
@@ -41,15 +46,15 @@
     renewed_at: float = 0.0
 
     def queue(self, service: str) -> fairqueue.FairQueue:
-        """Return the queue of a service, made on first use."""
+        """Return the queue of a service, created on first use."""
         return self.queues.setdefault(service, fairqueue.FairQueue())
 
     def bands(self, service: str) -> lengths.LengthBands:
-        """Return the length bands of a service, made on first use."""
+        """Return the length bands of a service, created on first use."""
         return self.bands_by_service.setdefault(service, lengths.LengthBands())
 
     def policy(self, service: str) -> policies_lib.Policy:
-        """Return the policy of a service, made anew when it is changed."""
+        """Return the policy of a service, rebuilt when its settings change."""
         settings = self.core.config.services.get(service)
         known = self.policies.get(service)
         if known is not None and (settings is None or known[0] == settings):
@@ -67,7 +72,7 @@
         pool: pool_lib.ServicePool,
         now: float,
     ) -> float:
-        """Return the predicted seconds until the answer is whole."""
+        """Return the predicted seconds until the answer is complete."""
         if request.kind is servicekind.ServiceKind.PLAIN:
             return 0.0
         if placement.needs_group(request, pool):
@@ -83,7 +88,7 @@
     def min_service_s(
         self, request: request_lib.Request, pool: pool_lib.ServicePool
     ) -> float:
-        """Return the seconds that an idle engine would need."""
+        """Return the seconds that an idle engine needs for the request."""
         if request.kind is servicekind.ServiceKind.PLAIN:
             return 0.0
         if placement.needs_group(request, pool):
@@ -96,7 +101,7 @@
     def decode_s(
         self, request: request_lib.Request, pool: pool_lib.ServicePool
     ) -> float:
-        """Return the seconds that an answer of usual length takes."""
+        """Return the seconds to decode an answer of average length."""
         share = self.core.output_share(request.service).share
         tokens = int(request.output_tokens * share)
         return self.typical_view(pool).speed.decode_s(tokens)
@@ -104,14 +109,14 @@
     def typical_view(
         self, pool: pool_lib.ServicePool
     ) -> endpoints.EndpointView:
-        """Return a serving endpoint's view for typical speeds."""
+        """Return the view of one serving endpoint, for its speed estimate."""
         names = pool.clean.names or pool.dirty.names
         return pool.views[names[0]]
 
     # --- dispatch --------------------------------------------------------
 
     def dispatch_queued(self, service: str, now: float) -> None:
-        """Dispatch from a service's queue until nothing more can go."""
+        """Dispatch from a service's queue until no request can be sent."""
         queue = self.queue(service)
         tries = 0
 
@@ -127,7 +132,10 @@
             pass
 
     def try_send(self, request: request_lib.Request, now: float) -> bool:
-        """Send a queued request if its limits and an endpoint allow it."""
+        """Send a queued request if limits and endpoints permit.
+
+        Returns whether the request has left the queue.
+        """
         core = self.core
         flight = core.flights.get(request.request_id)
         if not flight.charged and not self.is_within_limits(request, now):
@@ -157,8 +165,8 @@
     ) -> bool:
         """Return whether the workspace's leased share has room.
 
-        A workspace that was idle here holds no share; the next heartbeat,
-        which then goes out at once, asks for one.
+        A workspace that was idle at this entry holds no share. The next
+        heartbeat requests one, and is sent early for that.
         """
         settings = self.core.config.workspaces.get(request.workspace)
         if settings is not None and not settings.is_limited:
@@ -173,7 +181,7 @@
     def choose(
         self, flight: flights.Flight, pool: pool_lib.ServicePool, now: float
     ) -> policies_lib.Choice | None:
-        """Return the policy's choice, away from where it failed before."""
+        """Return the policy's choice, avoiding endpoints that failed before."""
         policy = self.policy(flight.request.service)
         choice = None
         for _ in range(MAX_CHOICES):
@@ -183,7 +191,7 @@
         return choice
 
     def dequeue(self, flight: flights.Flight, now: float) -> None:
-        """Take a flight out of the queue and charge its workspace."""
+        """Remove a flight from its queue and charge its workspace."""
         request = flight.request
         workspace = self.core.config.workspaces.get(request.workspace)
         weight = workspace.weight if workspace else DEFAULT_WEIGHT
@@ -243,7 +251,7 @@
         pool: pool_lib.ServicePool,
         now: float,
     ) -> actions.Part:
-        """Count a part into its endpoint's view; return it with its mark."""
+        """Add a part to its endpoint's view; return it with its mark."""
         view = pool.views[part.endpoint]
         work = view.add_work(key, band, part.prompt_tokens, part.kv_tokens, now)
         pool.classify(view)
@@ -261,12 +269,12 @@
         return attrs.evolve(part, mark=work.mark)
 
     def engine_priority(self, flight: flights.Flight) -> int:
-        """Return the priority that the engine is given."""
+        """Return the priority that is sent to the engine."""
         policy = self.policy(flight.request.service)
         return flight.band if policy.uses_priorities else 0
 
     def raise_priority(self, flight: flights.Flight, now: float) -> None:
-        """Lift a prompt that has waited long at its engine, with a floor."""
+        """Raise the priority of a prompt that has waited long at its engine."""
         raised = flight.priority - 1
         if raised < MIN_RAISED_BAND or len(flight.parts) != 1:
             return
@@ -288,7 +296,7 @@
     # --- groups ----------------------------------------------------------
 
     def reserve(self, flight: flights.Flight, now: float) -> None:
-        """Plan a group for a flight and ask for its reservation."""
+        """Plan a group for a flight and request its reservation."""
         core = self.core
         request = flight.request
         core.flights.arm(flight, now + GROUP_RETRY_S)
@@ -309,13 +317,13 @@
         pool: pool_lib.ServicePool,
         now: float,
     ) -> None:
-        """Fail a flight at once when no group could ever hold it."""
+        """Fail a flight if no group of engines can ever hold it."""
         refusal = admission.check_capacity(flight.request, pool)
         if refusal is not None:
             self.core.attempts.fail(flight, refusal, now)
 
     def reservation(self, flight: flights.Flight) -> actions.ReserveGroup:
-        """Return the request for, or the renewal of, a reservation."""
+        """Return the action that makes or renews a flight's reservation."""
         return actions.ReserveGroup(
             group=flight.group,
             service=flight.request.service,
@@ -325,7 +333,7 @@
         )
 
     def on_group(self, answer: messages.GroupAnswer, now: float) -> None:
-        """Send a flight whose reservation holds, or plan anew."""
+        """Send a flight whose reservation was granted, else retry later."""
         flight = self.flight_of_group(answer.group)
         if flight is None:
             if answer.granted:
@@ -334,21 +342,25 @@
         if flight.state is not flights.FlightState.RESERVING:
             return
         if not answer.granted:
-            # Keep the ticket: the same engines are asked for again, and
-            # the line in front of them only gets shorter.
+            # Retry with the same engines: the reservations queued ahead of
+            # this one at these engines only get fewer.
             self.core.flights.arm(flight, now + answer.retry_after_s)
             return
         self.send_group(flight, now)
 
     def flight_of_group(self, group: str) -> flights.Flight | None:
-        """Return the flight that a group belongs to."""
+        """Return the flight for which a group is reserved."""
         for flight in self.core.flights.flights.values():
             if flight.group == group:
                 return flight
         return None
 
     def send_group(self, flight: flights.Flight, now: float) -> None:
-        """Send the parts of a flight to the engines of its group."""
+        """Send the parts of a flight to the engines of its group.
+
+        Releases the group and plans again later if an engine of it no longer
+        accepts work.
+        """
         pool = self.core.pool(flight.request.service)
         views = [pool.views.get(name) for name in flight.group_engines]
         if any(view is None or not view.accepts for view in views):
@@ -362,14 +374,14 @@
         self.send(flight, plan.parts, plan.predicted_s, now)
 
     def release_group(self, flight: flights.Flight) -> None:
-        """Give a flight's reservation back."""
+        """Release a flight's reservation."""
         if flight.group:
             self.core.out.append(actions.ReleaseGroup(group=flight.group))
         flight.group = ""
         flight.group_engines = {}
 
     def renew_groups(self, now: float) -> None:
-        """Renew the leases of all groups that are running."""
+        """Renew the leases of all groups in use."""
         if now - self.renewed_at < GROUP_RENEW_S:
             return
         self.renewed_at = now
@@ -380,14 +392,18 @@
 
 
 def kv_tokens(request: request_lib.Request) -> int:
-    """Return the memory that a request takes on one engine."""
+    """Return the KV cache tokens that a request takes on one engine."""
     if request.kind is servicekind.ServiceKind.PLAIN:
         return 0
     return request.cost_tokens
 
 
 def check_invariants(core) -> None:
-    """Raise if a waiting state has no timer or a table disagrees."""
+    """Raise BrokenInvariantError if timers or queues are inconsistent.
+
+    Each flight has a timer before its deadline, and is in a queue exactly if
+    its state is `QUEUED`.
+    """
     for flight in core.flights.flights.values():
         if flight.timer_at > flight.request.deadline_at:
             raise errors.BrokenInvariantError(
--- a/src/_coltsfootroad/core/entry.py
+++ b/src/_coltsfootroad/core/entry.py
@@ -1,4 +1,4 @@
-"""The entry's decision core: events and `now` in, actions out."""
+"""Decision core of an entry: takes events and the time, returns actions."""
 
 from collections.abc import Callable
 import random
@@ -30,16 +30,16 @@
 from _coltsfootroad.core import roster as roster_lib
 from _coltsfootroad.core import syncing as syncing_lib
 
-# No first token this long past a generous multiple of the prediction, or
-# no progress of a stream: the attempt is lost.
+# An attempt times out if its first token takes longer than this multiple of
+# the prediction plus the grace period.
 FIRST_TOKEN_FACTOR = 4.0
 FIRST_TOKEN_GRACE_S = 10.0
-# How often the queue is tried again, and each waiting request is checked.
+# Intervals at which queues are dispatched and each waiting request is checked.
 DISPATCH_INTERVAL_S = 0.05
 WAITING_CHECK_INTERVAL_S = 0.5
-# How long a request waits for a first endpoint of its service.
+# Time for which a request waits while its service has no endpoint.
 NO_ENDPOINT_TIMEOUT_S = 5.0
-# Patience with a silent stream from an endpoint whose lease has ended.
+# Timeout of a silent stream from an endpoint whose lease has expired.
 EXPIRED_LEASE_TIMEOUT_S = 3.0
 PROGRESS_CHECK_INTERVAL_S = 5.0
 
@@ -56,8 +56,8 @@
 ):
     """Admits, queues, routes and finishes requests; does no I/O.
 
-    Every method takes `now` in seconds of one steady clock and returns the
-    actions that the shell has to carry out.
+    Every method takes `now` in seconds of one monotonic clock and returns the
+    actions that the shell has to perform.
     """
 
     entry: str
@@ -92,7 +92,7 @@
 
     @property
     def owner(self) -> str:
-        """Return the name under which engines hold memory for us."""
+        """Return the name under which engines hold memory for this entry."""
         return f"{self.entry}/{self.incarnation}"
 
     @property
@@ -106,7 +106,7 @@
         return out
 
     def pool(self, service: str) -> pool_lib.ServicePool:
-        """Return the pool of a service, made on first use."""
+        """Return the pool of a service, created on first use."""
         if service not in self.pools:
             self.pools[service] = pool_lib.ServicePool(
                 service=service, entry=self.owner, rng=self.rng
@@ -125,7 +125,7 @@
     def submit(
         self, request: request_lib.Request, now: float
     ) -> list[actions.Action]:
-        """Admit a request or refuse it at once."""
+        """Admit a request or refuse it."""
         refusal = self.admit(request, now)
         if refusal is not None:
             self.counters.refused += 1
@@ -150,7 +150,7 @@
     def admit(
         self, request: request_lib.Request, now: float
     ) -> errors.Failure | None:
-        """Return why a request is refused, or None."""
+        """Return the refusal of a request, or None if it is admitted."""
         if self.draining and now >= self.accept_until:
             return admission.refuse(
                 errors.ErrorCode.ENTRY_DRAINING,
@@ -178,7 +178,7 @@
         pool: pool_lib.ServicePool,
         now: float,
     ) -> errors.Failure | None:
-        """Return a refusal if the queue is full or the deadline too near."""
+        """Return a refusal by queue length, rate or deadline, or None."""
         bands = self.dispatcher.bands(request.service)
         bands.observe(request.prompt_tokens)
         band = bands.band(request.prompt_tokens)
@@ -199,7 +199,7 @@
         return admission.check_deadline(request, predicted_s, now)
 
     def enqueue(self, flight: flights_lib.Flight, now: float) -> None:
-        """Put a flight into its queue and try to dispatch at once."""
+        """Add a flight to its queue and try to dispatch it at once."""
         flight.state = flights_lib.FlightState.QUEUED
         self.dispatcher.queue(flight.request.service).push(
             flight.request, flight.band
@@ -210,10 +210,10 @@
     def on_caller_gone(
         self, request_id: str, now: float
     ) -> list[actions.Action]:
-        """Stop a request whose caller has gone away.
+        """Stop a request whose caller has disconnected.
 
-        A non-idempotent call that was dispatched goes on: its outcome must
-        reach the claim, so that a resend finds it.
+        A non-idempotent request that was dispatched continues: its outcome has
+        to be stored with its claim, where a resend finds it.
         """
         flight = self.flights.get(request_id)
         if flight is None:
@@ -228,7 +228,7 @@
     def on_claim(
         self, request_id: str, answer: messages.ClaimAnswer, now: float
     ) -> list[actions.Action]:
-        """Take the answer to a claim."""
+        """Handle the answer to a claim."""
         flight = self.flights.get(request_id)
         if flight is not None:
             claiming.on_answer(self, flight, answer, now)
@@ -237,7 +237,7 @@
     def on_group(
         self, answer: messages.GroupAnswer, now: float
     ) -> list[actions.Action]:
-        """Take the answer to a reservation of several engines."""
+        """Handle the answer to the reservation of a group of engines."""
         self.dispatcher.on_group(answer, now)
         return self.flush()
 
@@ -254,7 +254,7 @@
         requested_at: float,
         now: float,
     ) -> list[actions.Action]:
-        """Take the leader's answer to a heartbeat sent at `asked_at`."""
+        """Handle the leader's reply to a heartbeat sent at `requested_at`."""
         self.syncing.take(request, reply, requested_at, now)
         return self.flush()
 
@@ -263,7 +263,7 @@
     def on_announcement(
         self, announcement: registry.Announcement, now: float
     ) -> list[actions.Action]:
-        """Take an announcement that an endpoint sent to this entry."""
+        """Handle an announcement that an endpoint sent to this entry."""
         self.syncing.announced[announcement.endpoint] = announcement
         self.roster.take_announcement(announcement, now)
         return self.flush()
@@ -271,7 +271,7 @@
     def on_load(
         self, report: endpoints.LoadReport, now: float
     ) -> list[actions.Action]:
-        """Take a load report that an endpoint sent to this entry."""
+        """Handle a load report that an endpoint sent to this entry."""
         self.syncing.reported[report.endpoint] = report
         self.roster.take_load(report, now)
         return self.flush()
@@ -279,7 +279,7 @@
     def on_cache_event(
         self, event: prefixes.CacheEvent, now: float
     ) -> list[actions.Action]:
-        """Take a cache event."""
+        """Handle a prefix cache event of an engine."""
         service = self.endpoint_service.get(event.endpoint)
         if service is not None:
             self.pools[service].prefixes.apply(event, now)
@@ -288,7 +288,7 @@
     def on_note(
         self, note: actions.DispatchNote, now: float
     ) -> list[actions.Action]:
-        """Count another entry's dispatch before a report shows it."""
+        """Count another entry's dispatch before a load report includes it."""
         view = self.view(note.endpoint)
         if view is not None and note.owner != self.owner:
             work = endpoints.ForeignWork(
@@ -312,7 +312,7 @@
         chunk: request_lib.Chunk,
         now: float,
     ) -> list[actions.Action]:
-        """Take a piece of an answer, whatever attempt it belongs to."""
+        """Handle a chunk of an answer, of any attempt."""
         flight = self.attempts.running_flight(request_id, attempt)
         if flight is None or flight.parts[0].endpoint != endpoint:
             self.counters.late_chunks += 1
@@ -336,7 +336,7 @@
         answer: request_lib.Answer,
         now: float,
     ) -> list[actions.Action]:
-        """Take the whole answer of a plain service."""
+        """Handle the complete answer of a plain service."""
         flight = self.attempts.running_flight(request_id, attempt)
         if flight is None:
             self.counters.late_chunks += 1
@@ -354,7 +354,7 @@
         fault: Fault,
         now: float,
     ) -> list[actions.Action]:
-        """Take the failure of one attempt."""
+        """Handle the failure of one attempt."""
         flight = self.attempts.running_flight(request_id, attempt)
         if flight is not None:
             self.attempts.handle_failed_attempt(flight, endpoint, fault, now)
@@ -365,12 +365,12 @@
     def on_cancel_confirmed(
         self, endpoint: str, request_id: str, attempt: int, now: float
     ) -> list[actions.Action]:
-        """Take the engine's word that it holds nothing of an attempt."""
+        """Handle the confirmation that an engine freed an attempt's memory."""
         self.attempts.release_work(endpoint, (request_id, attempt), now)
         return self.flush()
 
     def output_share(self, service: str) -> admission.OutputShare:
-        """Return what is learned of a service's output lengths."""
+        """Return the learned output share of a service."""
         return self.output_shares.setdefault(service, admission.OutputShare())
 
     # --- time ------------------------------------------------------------
@@ -381,7 +381,7 @@
         if not self.freshness.is_current(now):
             self.fail_undispatched(now)
         for flight in self.flights.due(now):
-            # An earlier one of them may have ended it on the way.
+            # Handling an earlier flight may have ended this one.
             if flight.state is not flights_lib.FlightState.DONE:
                 self.on_timer(flight, now)
         self.dispatcher.renew_groups(now)
@@ -389,7 +389,7 @@
         return self.flush()
 
     def fail_undispatched(self, now: float) -> None:
-        """Refuse what has not been sent, once the entry has fenced itself."""
+        """Fail requests that were not sent, once the entry is fenced."""
         waiting = (
             flights_lib.FlightState.QUEUED,
             flights_lib.FlightState.CLAIMING,
@@ -409,7 +409,7 @@
                 )
 
     def on_timer(self, flight: flights_lib.Flight, now: float) -> None:
-        """Act on a flight whose timer has run out."""
+        """Handle the timer of a flight by its state."""
         if now >= flight.request.deadline_at:
             self.attempts.fail(
                 flight, attempts_lib.deadline_exceeded(flight), now
@@ -426,7 +426,7 @@
                 self.check_waiting(flight, now)
 
     def check_waiting(self, flight: flights_lib.Flight, now: float) -> None:
-        """Give up at once on a waiting request that cannot make it."""
+        """Fail a waiting request that can no longer meet its deadline."""
         pool = self.pool(flight.request.service)
         if not flight.may_have_run and pool.serving_count():
             predicted_s = self.dispatcher.min_service_s(flight.request, pool)
@@ -447,7 +447,7 @@
         self.flights.arm(flight, now + WAITING_CHECK_INTERVAL_S)
 
     def check_progress(self, flight: flights_lib.Flight, now: float) -> None:
-        """Time out an attempt that shows no progress; age one that waits."""
+        """Time out an attempt without progress, or raise its priority."""
         if flight.first_token_at is None or flight.progress_at <= (
             flight.dispatched_at
         ):
@@ -472,12 +472,12 @@
         )
 
     def dispatch_all_queued(self, now: float) -> None:
-        """Dispatch whatever can go now, for every service."""
+        """Dispatch queued requests of every service."""
         for service in list(self.dispatcher.queues):
             self.dispatcher.dispatch_queued(service, now)
 
     def next_wake(self, now: float) -> float:
-        """Return when `tick` is wanted next, at the latest in a second."""
+        """Return when `tick` has to run next, at most one second from now."""
         times = [now + 1.0, self.releaser.next_timer()]
         times.append(self.flights.next_timer())
         if any(queue.size for queue in self.dispatcher.queues.values()):
@@ -487,7 +487,7 @@
     # --- shutdown --------------------------------------------------------
 
     def begin_drain(self, now: float) -> list[actions.Action]:
-        """Leave: accept until given addresses expire, finish the rest."""
+        """Start draining: accept until handed-out addresses have expired."""
         if not self.draining:
             self.draining = True
             validity = self.config.fleet.address_validity_s
@@ -495,7 +495,7 @@
         return self.flush()
 
     def is_drained(self, now: float) -> bool:
-        """Return whether nothing is left to do before stopping."""
+        """Return whether the entry can stop: no flight or release is left."""
         if not self.draining or now < self.accept_until:
             return False
         return not self.flights.flights and not self.releaser.pending
@@ -503,7 +503,7 @@
     def addresses_for(
         self, caller: str, zone: str, now: float
     ) -> addresses.AddressAnswer:
-        """Return the entries that a caller should use."""
+        """Return the addresses of the entries that a caller should use."""
         members = self.freshness.members
         if not self.freshness.is_current(now):
             members = tuple(m for m in members if m.entry != self.entry)
--- a/src/_coltsfootroad/core/errors.py
+++ b/src/_coltsfootroad/core/errors.py
@@ -6,7 +6,7 @@
 
 
 class Ran(enum.Enum):
-    """Whether the work of a failed request happened at an endpoint."""
+    """Whether a failed request ran at an endpoint."""
 
     NO = "no"
     YES = "yes"
@@ -87,8 +87,8 @@
     Attributes:
         code: Stable code for programs.
         message: One sentence for people that names the bad value.
-        ran: Whether the work happened; `NO` only when it is provable.
-        retry_after_s: Seconds after which another try can help, if any.
+        ran: Whether the request ran; `NO` only if that is proved.
+        retry_after_s: Seconds after which a retry can succeed, if any.
     """
 
     code: ErrorCode
@@ -98,9 +98,9 @@
 
     @property
     def http_status(self) -> int:
-        """Return the HTTP status that carries this failure."""
+        """Return the HTTP status of this failure."""
         return HTTP_STATUS[self.code]
 
 
 class BrokenInvariantError(Exception):
-    """A fault of the program itself; the process stops on it."""
+    """A defect of the program; the process stops when it is raised."""
--- a/src/_coltsfootroad/core/eventstream.py
+++ b/src/_coltsfootroad/core/eventstream.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events into whole events."""
+"""Splits a stream of server-sent events into complete events."""
 
 import attrs
 
@@ -8,7 +8,10 @@
 
 @attrs.frozen
 class Event:
-    """One whole event with its closing blank line; `number` is its id."""
+    """A complete event with its final blank line.
+
+    `number` is the id of the event, None if it has no numeric id.
+    """
 
     number: int | None
     data: bytes
@@ -16,16 +19,16 @@
 
 @attrs.define
 class EventSplitter:
-    """Collects bytes until an event is whole; half ones are never passed on.
+    """Buffers bytes until an event is complete.
 
-    An endpoint may die in the middle of an event, and the rest of the
-    stream then comes from another endpoint, which sends that event again.
+    Partial events are never returned: if an endpoint fails in the middle of an
+    event, the endpoint that continues the stream sends that event again.
     """
 
     pending: bytearray = attrs.Factory(bytearray)
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are whole now."""
+        """Add data to the buffer; return the events that it completes."""
         self.pending += data
         found = []
         while True:
@@ -38,17 +41,17 @@
 
 
 def find_end(data: bytearray) -> int:
-    """Return the index after the first whole event, -1 if there is none."""
+    """Return the index after the first complete event, -1 if there is none."""
     ends = [
-        place + len(mark)
-        for mark in EVENT_ENDS
-        if (place := data.find(mark)) >= 0
+        position + len(separator)
+        for separator in EVENT_ENDS
+        if (position := data.find(separator)) >= 0
     ]
     return min(ends, default=-1)
 
 
 def event_number(raw: bytes) -> int | None:
-    """Return the id of an event if it is a number."""
+    """Return the id of an event if it is a number, else None."""
     for line in raw.splitlines():
         if line.startswith(ID_FIELD):
             text = line[len(ID_FIELD) :].strip()
--- a/src/_coltsfootroad/core/failoverdelay.py
+++ b/src/_coltsfootroad/core/failoverdelay.py
@@ -1,27 +1,28 @@
-"""How long to wait for a silent endpoint before another one is tried.
+"""Computes how long to wait for a silent endpoint before failing over.
 
-The pattern it answers: an endpoint goes dark in the middle of its work, and
-neither a reset nor an end says so. Callers leave after a pause of a few
-times their aim, so half of that is spent on the first endpoint and the rest
-is left for the second, which reads the prompt again.
+An endpoint can stop responding in the middle of a request without closing its
+connection. Callers disconnect after a pause of a few times their latency
+target. Half of that time is allowed for the first endpoint, and the rest is
+left for a second one, which has to prefill the prompt again.
 """
 
 from _coltsfootroad.core import routes
 
-# Callers of a stream leave after a pause of the longest of these.
+# Callers of a stream disconnect after the longest of these pauses: seconds,
+# multiples of the target for the first event, multiples of the gap target.
 MIN_CALLER_TIMEOUT_S = 2.0
 CALLER_TIMEOUT_TARGETS = 4.0
 CALLER_TIMEOUT_GAPS = 8.0
-# Part of that time, or of a call's timeout, given to the first endpoint.
+# Share of that pause, or of a call's timeout, allowed for the first endpoint.
 FIRST_ENDPOINT_SHARE = 0.5
-# A prediction may err by this factor before the endpoint counts as silent.
-# Under overload every answer is slow; turning away from slow endpoints then
-# sends the same work once more to engines that are as busy.
+# Factor by which a predicted time may be exceeded before failing over. Under
+# overload every endpoint is slow, and failing over then adds the same work to
+# an engine that is as busy.
 PREDICTION_ERROR_FACTOR = 3.0
 
 
 def caller_timeout_s(route: routes.Route) -> float:
-    """Return the longest pause that a stream's caller bears."""
+    """Return the pause in seconds after which a stream's caller disconnects."""
     return max(
         MIN_CALLER_TIMEOUT_S,
         CALLER_TIMEOUT_TARGETS * route.target_s,
@@ -30,9 +31,9 @@
 
 
 def failover_after_s(route: routes.Route, expected_s: float) -> float:
-    """Return after how much silence to turn to another endpoint.
+    """Return the seconds of silence after which to try another endpoint.
 
-    `expected_s` is the predicted time to the next sign of life.
+    `expected_s` is the predicted time to the next event.
     """
     if route.kind is not routes.RequestKind.STREAM:
         return FIRST_ENDPOINT_SHARE * route.timeout_s
--- a/src/_coltsfootroad/core/fairqueue.py
+++ b/src/_coltsfootroad/core/fairqueue.py
@@ -1,4 +1,4 @@
-"""Waiting requests of one service, fair by tokens between workspaces."""
+"""Fair queue of one service's waiting requests, by tokens per workspace."""
 
 import collections
 from collections.abc import Callable
@@ -9,19 +9,20 @@
 from _coltsfootroad.core import lengths
 from _coltsfootroad.core import request as request_lib
 
-# Share of dispatched tokens that longer bands are owed while short ones
-# keep coming, so that ageing need not turn ledgers into short requests.
+# Share of the dispatched tokens that longer bands get while shorter requests
+# keep arriving. It prevents starvation without ageing long requests into the
+# short band.
 LONG_SHARE = 0.25
 
 
-# Step between two priorities, as a factor on the weight. A factor and not an
-# order: strict priorities starve whoever comes last.
+# Factor on the weight between two adjacent priorities. Strict priority order
+# would starve the lowest priority.
 PRIORITY_STEP = 1.5
 MIDDLE_PRIORITY = 5
 
 
 def priority_factor(priority: int) -> float:
-    """Return how a priority (0 most urgent, 9 least) scales a weight."""
+    """Return the factor of a priority (0 most urgent, 9 least) on a weight."""
     return PRIORITY_STEP ** (MIDDLE_PRIORITY - priority)
 
 
@@ -34,11 +35,12 @@
 
 @attrs.define
 class FairQueue:
-    """Start-time fair queue over workspaces inside each length band.
+    """Start-time fair queue over workspaces within each length band.
 
-    Bands are served shortest first, except that longer bands earn credit
-    of `LONG_SHARE` of the tokens that shorter ones take. Charges are
-    tokens: fairness by requests is unfair by the ratio of prompt lengths.
+    Bands are served shortest first, but longer bands earn a credit of
+    `LONG_SHARE` of the tokens that shorter bands take. Workspaces are charged
+    by tokens: charging by requests would favour workspaces with long prompts
+    by the ratio of prompt lengths.
     """
 
     lanes: list[dict[str, Lane]] = attrs.Factory(
@@ -52,7 +54,7 @@
     bands: dict[str, int] = attrs.Factory(dict)
 
     def push(self, request: request_lib.Request, band: int) -> None:
-        """Add a request behind its workspace's others of the band."""
+        """Append a request to its workspace's lane of a band."""
         lane = self.lanes[band].setdefault(request.workspace, Lane())
         lane.requests.append(request)
         self.bands[request.request_id] = band
@@ -60,7 +62,7 @@
         self.tokens[band] += request.cost_tokens
 
     def remove(self, request: request_lib.Request) -> bool:
-        """Take a request out, wherever it waits."""
+        """Remove a request; return whether it was queued."""
         band = self.bands.pop(request.request_id, None)
         if band is None:
             return False
@@ -73,11 +75,11 @@
         return True
 
     def tokens_ahead(self, band: int) -> int:
-        """Return the tokens that wait in this and shorter bands."""
+        """Return the tokens queued in this and shorter bands."""
         return sum(self.tokens[: band + 1])
 
     def start_tag(self, workspace: str) -> float:
-        """Return the virtual time at which a workspace may go next."""
+        """Return the virtual start time of a workspace's next request."""
         return max(self.virtual_time, self.finish_tags.get(workspace, 0.0))
 
     def band_order(self) -> list[int]:
@@ -91,12 +93,12 @@
         return order
 
     def cheapest_head(self, band: int) -> int | None:
-        """Return the smallest cost at the heads of a band."""
+        """Return the smallest cost in tokens of the heads of a band's lanes."""
         heads = [lane.requests[0] for lane in self.lanes[band].values()]
         return min((head.cost_tokens for head in heads), default=None)
 
     def candidates(self, band: int) -> list[request_lib.Request]:
-        """Return the heads of a band in fair order."""
+        """Return the heads of a band's lanes, by virtual start time."""
         tagged = [
             (self.start_tag(name), index, lane.requests[0])
             for index, (name, lane) in enumerate(self.lanes[band].items())
@@ -107,7 +109,7 @@
     def on_dispatched(
         self, request: request_lib.Request, weight: float
     ) -> None:
-        """Take out a request that was dispatched and charge for it."""
+        """Remove a dispatched request and charge its workspace."""
         band = self.bands[request.request_id]
         others_wait = any(
             self.lanes[b] for b in range(band + 1, lengths.BAND_COUNT)
@@ -125,7 +127,7 @@
             self.reset()
 
     def reset(self) -> None:
-        """Forget the tags of an idle queue; nobody is owed anything."""
+        """Clear the tags and the credit of an empty queue."""
         self.finish_tags.clear()
         self.virtual_time = 0.0
         self.long_credit = 0.0
@@ -133,7 +135,10 @@
     def select(
         self, can_send: Callable[[request_lib.Request], bool]
     ) -> request_lib.Request | None:
-        """Return the next request that `may_go`, without taking it out."""
+        """Return the next request for which `can_send` is true.
+
+        The request stays in the queue.
+        """
         for band in self.band_order():
             for request in self.candidates(band):
                 if can_send(request):
--- a/src/_coltsfootroad/core/fanout.py
+++ b/src/_coltsfootroad/core/fanout.py
@@ -1,9 +1,9 @@
-"""Who gets a copy of what a gateway tells the others, and who passes it on.
+"""Chooses the receivers of a gateway's summaries, and which of them forward.
 
-The pattern it answers: each request is told to every gateway in use, several
-times. Bytes between availability zones are dear and a zone holds many gateways,
-so one copy goes to each other zone, whose receiver passes it on inside. What a
-request costs between zones then depends on the zones alone.
+Each request is published several times to every gateway in use. Traffic between
+availability zones is expensive and a zone has many gateways, so one copy goes
+to each other zone, whose receiver forwards it within the zone. The traffic
+between zones then depends only on the number of zones.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,10 @@
 
 @attrs.frozen
 class Delivery:
-    """One copy of a message; `pass_on` asks to spread it inside the zone."""
+    """One copy of a message; with `pass_on` the receiver forwards it.
+
+    The receiver forwards the message to the other gateways of its zone.
+    """
 
     to: addresses.Member
     pass_on: bool = False
@@ -27,15 +30,15 @@
 def deliveries(
     receivers: Iterable[addresses.Member], sender: str, zone: str, turn: int
 ) -> list[Delivery]:
-    """Return the copies that tell all receivers what a `sender` in `zone` says.
+    """Return the copies of a message of a `sender` in `zone` to all receivers.
 
-    `turn` draws anew who passes on: one that is frozen or cut off keeps its
-    zone from hearing a sender for one turn only.
+    Each `turn` selects other forwarding gateways, so that a frozen or
+    partitioned one hides a sender from its zone for one turn only.
     """
     found = []
     key = f"{FANOUT_KEY}/{sender}/{turn}"
-    for their_zone, members in group_by_zone(receivers).items():
-        if their_zone == zone or len(members) == 1:
+    for other_zone, members in group_by_zone(receivers).items():
+        if other_zone == zone or len(members) == 1:
             found += [Delivery(member) for member in members]
         else:
             first = min(
@@ -48,7 +51,7 @@
 def group_by_zone(
     members: Iterable[addresses.Member],
 ) -> dict[str, list[addresses.Member]]:
-    """Return members by their availability zone."""
+    """Return members by availability zone."""
     zones: dict[str, list[addresses.Member]] = {}
     for member in members:
         zones.setdefault(member.availability_zone, []).append(member)
--- a/src/_coltsfootroad/core/flights.py
+++ b/src/_coltsfootroad/core/flights.py
@@ -1,4 +1,4 @@
-"""Admitted requests on their way, each with a timer until its end."""
+"""Admitted requests in flight, each with a timer until it ends."""
 
 import enum
 import heapq
@@ -11,7 +11,7 @@
 
 
 class FlightState(enum.Enum):
-    """Where an admitted request stands."""
+    """State of an admitted request."""
 
     CLAIMING = "claiming"
     QUEUED = "queued"
@@ -23,17 +23,17 @@
 
 @attrs.define(eq=False)
 class Flight:
-    """One admitted request.
+    """One admitted request in flight.
 
     Attributes:
         request: The request itself.
         band: Length band at admission.
-        timer_at: When the core looks at it again; never after the deadline.
+        timer_at: When its timer fires next; never after the deadline.
         may_have_run: Whether some attempt may have reached an endpoint.
-        lost_before: Whether an earlier attempt was lost, which no later
-            proof of "not sent" takes back.
+        had_lost_attempt: Whether an earlier attempt was lost. It may have run,
+            even if a later attempt provably was not sent.
         parts: Parts of the current attempt.
-        group: Name of the reservation of several engines, if any.
+        group: Name of its reservation of a group of engines, empty if none.
     """
 
     request: request_lib.Request
@@ -66,7 +66,7 @@
 
 @attrs.define
 class FlightTable:
-    """All flights by id, with their timers in order."""
+    """All flights by request id, and a heap of their timers."""
 
     flights: dict[str, Flight] = attrs.Factory(dict)
     timers: list[tuple[float, str]] = attrs.Factory(list)
@@ -77,21 +77,21 @@
         self.arm(flight, flight.timer_at)
 
     def get(self, request_id: str) -> Flight | None:
-        """Return a flight that has not ended."""
+        """Return a flight by request id, None if it has ended."""
         return self.flights.get(request_id)
 
     def arm(self, flight: Flight, at: float) -> None:
-        """Set a flight's timer, at the latest to its deadline."""
+        """Set a flight's timer, but not past its deadline."""
         flight.timer_at = min(at, flight.request.deadline_at)
         heapq.heappush(self.timers, (flight.timer_at, flight.request_id))
 
     def remove(self, flight: Flight) -> None:
-        """Forget a flight that has ended."""
+        """Remove a flight that has ended."""
         flight.state = FlightState.DONE
         self.flights.pop(flight.request_id, None)
 
     def due(self, now: float) -> list[Flight]:
-        """Return the flights whose timer has run out."""
+        """Return the flights whose timers have expired."""
         found = []
         while self.timers and self.timers[0][0] <= now:
             at, request_id = heapq.heappop(self.timers)
@@ -101,7 +101,7 @@
         return found
 
     def next_timer(self) -> float | None:
-        """Return the earliest time at which a flight is due."""
+        """Return the time of the earliest timer, None if there is none."""
         while self.timers:
             at, request_id = self.timers[0]
             flight = self.flights.get(request_id)
--- a/src/_coltsfootroad/core/freshness.py
+++ b/src/_coltsfootroad/core/freshness.py
@@ -29,7 +29,7 @@
         return tuple(self.member_view.known.values())
 
     def confirm(self, requested_at: float) -> None:
-        """Note that the version was current at `asked_at`."""
+        """Note that the version was current at `requested_at`."""
         self.confirmed_at = max(self.confirmed_at, requested_at)
 
     def is_current(self, now: float) -> bool:
--- a/src/_coltsfootroad/core/interfaces.py
+++ b/src/_coltsfootroad/core/interfaces.py
@@ -1,8 +1,8 @@
-"""What each part of an entry's core needs from the others.
+"""Interfaces between the components of the entry core.
 
-The parts work on the same flights and endpoints and call each other. Each
-names here what it needs, and the entry gives it that; no part imports the
-entry or a part that calls it.
+The components share flights and endpoints and call each other. The interfaces
+declare what each component provides and needs, so that no component imports the
+entry or a component that calls it.
 """
 
 import abc
@@ -28,13 +28,13 @@
 
 
 class CoreContext(abc.ABC):
-    """What all parts share: requests in progress and endpoints known.
+    """State that all components share.
 
     Attributes:
-        flights: Requests in progress.
-        pools: Endpoints by service.
-        endpoint_service: Service of each endpoint.
-        out: Actions that the shell has to carry out.
+        flights: Requests in flight.
+        pools: Known endpoints by service.
+        endpoint_service: Service of each known endpoint.
+        out: Actions that the shell has to perform.
     """
 
     flights: flights_lib.FlightTable
@@ -44,7 +44,7 @@
 
     @abc.abstractmethod
     def pool(self, service: str) -> pool_lib.ServicePool:
-        """Return the pool of a service, made on first use."""
+        """Return the pool of a service, created on first use."""
 
     @abc.abstractmethod
     def view(self, endpoint: str) -> endpoints.EndpointView | None:
@@ -52,29 +52,29 @@
 
 
 class DispatcherInterface(abc.ABC):
-    """Queues, and sends what may go."""
+    """Queues requests and sends them to endpoints."""
 
     @abc.abstractmethod
     def queue(self, service: str) -> fairqueue.FairQueue:
-        """Return the queue of a service, made on first use."""
+        """Return the queue of a service, created on first use."""
 
     @abc.abstractmethod
     def dispatch_queued(self, service: str, now: float) -> None:
-        """Dispatch whatever can go now."""
+        """Dispatch queued requests of a service."""
 
     @abc.abstractmethod
     def release_group(self, flight: flights_lib.Flight) -> None:
-        """Give back the engines that were reserved for a request."""
+        """Release the engines that were reserved for a request."""
 
 
 class AttemptsInterface(abc.ABC):
-    """Follows attempts to their ends."""
+    """Handles attempts from their dispatch to the end of the request."""
 
     @abc.abstractmethod
     def running_flight(
         self, request_id: str, attempt: int
     ) -> flights_lib.Flight | None:
-        """Return the flight of an attempt that is still under way."""
+        """Return the flight whose current attempt this is, if it is running."""
 
     @abc.abstractmethod
     def handle_failed_attempt(
@@ -84,7 +84,7 @@
         fault: faults.Fault,
         now: float,
     ) -> None:
-        """Retry a failed attempt or end its request."""
+        """Retry a failed attempt or fail its request."""
 
     @abc.abstractmethod
     def fail(
@@ -94,19 +94,19 @@
 
     @abc.abstractmethod
     def end(self, flight: flights_lib.Flight, used: int, now: float) -> None:
-        """Forget a request; `used` tokens were written for it."""
+        """Remove a request for which `used` output tokens were generated."""
 
 
 class SyncInterface(abc.ABC):
-    """Talks to the leader."""
+    """Exchanges heartbeats with the leader."""
 
     @abc.abstractmethod
     def request_heartbeat(self, now: float) -> None:
-        """Ask for a heartbeat before its time."""
+        """Request that the next heartbeat is sent early."""
 
 
 class RosterInterface(abc.ABC):
-    """Follows what endpoints and the leader say of endpoints."""
+    """Tracks endpoints by announcements and load reports."""
 
     @abc.abstractmethod
     def take_announcement(
@@ -116,19 +116,19 @@
 
     @abc.abstractmethod
     def take_load(self, report: endpoints.LoadReport, now: float) -> None:
-        """Take an endpoint's load report."""
+        """Handle an endpoint's load report."""
 
     @abc.abstractmethod
     def expire_endpoint(self, name: str, now: float) -> None:
-        """Stop using an endpoint whose lease has ended."""
+        """Stop using an endpoint whose lease has expired."""
 
     @abc.abstractmethod
     def drop_expired(self, now: float) -> None:
-        """Forget expired endpoints on which nothing runs."""
+        """Remove expired endpoints on which no attempt runs."""
 
 
 class AttemptContext(CoreContext):
-    """What follows attempts needs."""
+    """State that the attempts component needs."""
 
     rng: random.Random
     budget: retries.RetryBudget
@@ -143,18 +143,18 @@
 
 
 class ClaimContext(CoreContext):
-    """What takes claims needs."""
+    """State that claiming needs."""
 
     counters: counters_lib.Counters
     attempts: AttemptsInterface
 
     @abc.abstractmethod
     def enqueue(self, flight: flights_lib.Flight, now: float) -> None:
-        """Put a flight into its queue and try to dispatch at once."""
+        """Add a flight to its queue and try to dispatch it at once."""
 
 
 class DispatchContext(CoreContext):
-    """What queues and sends needs."""
+    """State that the dispatcher needs."""
 
     limits: limits_lib.LimitTable
     attempts: AttemptsInterface
@@ -164,7 +164,7 @@
     @property
     @abc.abstractmethod
     def owner(self) -> str:
-        """Return the name under which engines hold memory for us."""
+        """Return the name under which engines hold memory for this entry."""
 
     @property
     @abc.abstractmethod
@@ -177,7 +177,7 @@
 
 
 class RosterContext(CoreContext):
-    """What follows endpoints needs."""
+    """State that the roster of endpoints needs."""
 
     freshness: freshness_lib.Freshness
     releaser: releases.Releaser
@@ -186,7 +186,7 @@
 
 
 class SyncContext(CoreContext):
-    """What talks to the leader needs."""
+    """State that the heartbeats need."""
 
     entry: str
     draining: bool
@@ -196,4 +196,4 @@
 
     @abc.abstractmethod
     def dispatch_all_queued(self, now: float) -> None:
-        """Dispatch whatever can go now, for every service."""
+        """Dispatch queued requests of every service."""
--- a/src/_coltsfootroad/core/lengths.py
+++ b/src/_coltsfootroad/core/lengths.py
@@ -1,20 +1,20 @@
-"""Length bands with borders that follow the arrivals."""
+"""Prompt length bands whose borders adapt to the arrivals."""
 
 import attrs
 
-# Names and upper borders, in tokens, of the classes used in reports.
+# Names and upper borders, in tokens, of the length classes of reports.
 REPORT_CLASSES = (("1k", 3_200), ("10k", 32_000), ("100k", 320_000))
 LONGEST_CLASS = "1m"
 
 BAND_COUNT = 4
-# Ratio between neighbouring borders: inside a band no prompt is blocked
-# by one more than this many times its length.
+# Ratio of adjacent borders. Within a band no prompt waits behind one more than
+# this many times as long.
 BORDER_RATIO = 16
 SHORT_QUANTILE = 0.8
 MIN_SHORT_BORDER = 2_048
 MAX_SHORT_BORDER = 16_384
 INITIAL_SHORT_BORDER = 4_096
-# Arrivals between two recomputations, and the weight that older ones keep.
+# Arrivals between two recomputations, and the factor on older counts.
 RECOMPUTE_EVERY = 256
 DECAY = 0.5
 BUCKET_COUNT = 24
@@ -30,11 +30,11 @@
 
 @attrs.define
 class LengthBands:
-    """Sorts prompts into bands; band 0 holds the short ones.
+    """Assigns prompts to length bands; band 0 has the shortest.
 
-    The short border is the upper edge of the power of two that holds the
-    0.8 quantile of recent arrivals, clamped, so that a month end full of
-    ledgers does not turn contracts into short requests.
+    The short border is the 0.8 quantile of recent arrivals, rounded up to a
+    power of two and clamped. The clamp keeps a period of mostly long prompts
+    from turning medium ones into short ones.
     """
 
     short_border: int = INITIAL_SHORT_BORDER
@@ -42,7 +42,7 @@
     since_recompute: int = 0
 
     def observe(self, prompt_tokens: int) -> None:
-        """Count an arrival and move the border now and then."""
+        """Count an arrival; recompute the border at a fixed interval."""
         bucket = min(prompt_tokens.bit_length(), BUCKET_COUNT - 1)
         self.counts[bucket] += 1
         self.since_recompute += 1
@@ -50,13 +50,13 @@
             self.recompute()
 
     def recompute(self) -> None:
-        """Set the short border from the counts and age them."""
+        """Set the short border from the counts, and decay the counts."""
         self.since_recompute = 0
-        wanted = SHORT_QUANTILE * sum(self.counts)
-        seen = 0.0
+        target = SHORT_QUANTILE * sum(self.counts)
+        cumulative = 0.0
         for bucket, count in enumerate(self.counts):
-            seen += count
-            if seen >= wanted:
+            cumulative += count
+            if cumulative >= target:
                 edge = 1 << bucket
                 break
         else:
@@ -65,7 +65,7 @@
         self.counts = [count * DECAY for count in self.counts]
 
     def band(self, prompt_tokens: int) -> int:
-        """Return the band of a prompt, 0 for short to `BAND_COUNT - 1`."""
+        """Return the band of a prompt, from 0 (short) to `BAND_COUNT - 1`."""
         border = self.short_border
         for band in range(BAND_COUNT - 1):
             if prompt_tokens <= border:
--- a/src/_coltsfootroad/core/limits.py
+++ b/src/_coltsfootroad/core/limits.py
@@ -2,20 +2,21 @@
 
 import attrs
 
-# Seconds of its rate that an idle workspace can save up.
+# Size of a workspace's token bucket, in seconds of its rate.
 BURST_S = 2.0
 
 
 @attrs.frozen(kw_only=True)
 class Share:
-    """A part of one workspace's limits, granted to one entry.
+    """A part of one workspace's limits, leased to one entry.
 
     Attributes:
-        workspace: Whose limits these are.
-        grant: Grows with every grant to this entry.
-        tokens_per_s: Rate share, none if the workspace has no rate limit.
-        concurrency: Requests in flight, none if there is no such limit.
-        lease_s: Seconds that it holds, counted from before it was asked for.
+        workspace: Name of the workspace.
+        grant: Grant number, which grows with every grant to this entry.
+        tokens_per_s: Rate share, None if the workspace has no rate limit.
+        concurrency: Requests in flight, None if there is no such limit.
+        lease_s: Lease duration in seconds, counted from the time at which the
+            entry sent its request.
     """
 
     workspace: str
@@ -27,7 +28,7 @@
 
 @attrs.frozen(kw_only=True)
 class Demand:
-    """What an entry could use of one workspace's limits now."""
+    """The part of one workspace's limits that an entry can use now."""
 
     workspace: str
     tokens_per_s: float = 0.0
@@ -36,7 +37,7 @@
 
 @attrs.define
 class WorkspaceMeter:
-    """Meters one workspace at one entry."""
+    """Token bucket and concurrency count of one workspace at one entry."""
 
     share: Share | None = None
     lease_until: float = float("-inf")
@@ -48,12 +49,12 @@
     rate_at: float = 0.0
 
     def is_active(self, now: float) -> bool:
-        """Return whether the share is held and still of use."""
+        """Return whether a share was granted and is in use or still leased."""
         busy = self.in_flight or self.waiting or self.rate_used >= 1
         return self.share is not None and (busy or self.has_lease(now))
 
     def refill(self, now: float) -> None:
-        """Add the tokens earned since the last call while the lease held."""
+        """Add the tokens earned since the last call, up to the lease's end."""
         share = self.share
         earned_until = min(now, self.lease_until)
         if share is not None and share.tokens_per_s is not None:
@@ -65,42 +66,42 @@
         self.filled_at = max(self.filled_at, now)
 
     def has_lease(self, now: float) -> bool:
-        """Return whether a share is held now."""
+        """Return whether the lease of a share is valid now."""
         return self.share is not None and now < self.lease_until
 
     def can_start(self, now: float) -> bool:
-        """Return whether one more request fits into the share now."""
+        """Return whether the share has room for one more request now."""
         if not self.has_lease(now):
             return False
         self.refill(now)
         limit = self.share.concurrency
         if limit is not None and self.in_flight >= limit:
             return False
-        # A request longer than the burst goes into debt instead of waiting
-        # for a bucket that can never hold it.
+        # Any positive balance is enough: a request larger than the bucket
+        # makes the balance negative, as it could never be covered in full.
         return self.share.tokens_per_s is None or self.tokens > 0
 
     def start(self, cost_tokens: int, now: float) -> None:
-        """Charge a request that starts."""
+        """Charge a request at its start."""
         self.refill(now)
         self.in_flight += 1
         self.tokens -= cost_tokens
         self.record_rate(cost_tokens, now)
 
     def finish(self, unused_tokens: int) -> None:
-        """End a request and give back what it did not use."""
+        """End a request and refund the tokens that it did not use."""
         self.in_flight -= 1
         self.tokens += unused_tokens
 
     def record_rate(self, tokens: float, now: float) -> None:
-        """Track the rate in use with a window of about a second."""
+        """Add tokens to the rate in use, which decays over one second."""
         elapsed = max(now - self.rate_at, 0.0)
         self.rate_used *= max(0.0, 1.0 - elapsed)
         self.rate_used += tokens
         self.rate_at = now
 
     def refill_at(self, now: float) -> float:
-        """Return when tokens are expected to be above zero again."""
+        """Return when the token balance is expected to be positive again."""
         share = self.share
         if share is None or not share.tokens_per_s or self.tokens > 0:
             return now
@@ -109,16 +110,16 @@
 
 @attrs.define
 class LimitTable:
-    """Meters of all workspaces that an entry has seen."""
+    """Meters of all workspaces that have sent requests to an entry."""
 
     meters: dict[str, WorkspaceMeter] = attrs.Factory(dict)
 
     def meter(self, workspace: str) -> WorkspaceMeter:
-        """Return the meter of a workspace, made on first use."""
+        """Return the meter of a workspace, created on first use."""
         return self.meters.setdefault(workspace, WorkspaceMeter())
 
     def apply(self, shares: tuple[Share, ...], requested_at: float, now: float):
-        """Take shares; their leases count from before they were asked for."""
+        """Apply granted shares; their leases count from `requested_at`."""
         for share in shares:
             meter = self.meter(share.workspace)
             if meter.share is not None and share.grant <= meter.share.grant:
@@ -130,7 +131,7 @@
             meter.lease_until = requested_at + share.lease_s
 
     def demands(self, now: float) -> tuple[Demand, ...]:
-        """Return what each active workspace could use."""
+        """Return the demand of each active workspace."""
         found = []
         for name, meter in self.meters.items():
             wanted = meter.in_flight + meter.waiting
--- a/src/_coltsfootroad/core/minimumshare.py
+++ b/src/_coltsfootroad/core/minimumshare.py
@@ -1,4 +1,4 @@
-"""The part of a fleet's limit that one gateway can use without a message."""
+"""Share of a fleet-wide limit that one gateway uses without coordination."""
 
 import collections
 
@@ -7,7 +7,7 @@
 
 @attrs.define
 class ShareInterval:
-    """A share and until when it was held."""
+    """A share and the time until which it was held."""
 
     share: float
     until: float = float("inf")
@@ -15,19 +15,20 @@
 
 @attrs.define
 class MinimumShare:
-    """The least share that a gateway held at any time of a span.
+    """Minimum of the shares that a gateway held within a time span.
 
-    Gateways learn at different moments that a member came or was lost, and a
-    restarted one does not know what the process before it has used. Where all
-    saw the same members at some moment of the span, least shares add up to 1
-    at most. A process that has not run for the whole span has none, and so
-    has one whose proof was too old meanwhile: the others took it for lost.
+    Gateways learn of joined and lost members at different times, and a
+    restarted gateway does not know the usage of its previous process. If all
+    gateways saw the same members at some time within the span, their minimum
+    shares add up to at most 1. The minimum is 0 for a process that has not run
+    for the whole span, and for one whose proof of the members expired within
+    it, as the other gateways then considered it lost.
 
     Attributes:
-        span_s: The span, up to now.
+        span_s: Length of the span, which ends now.
         lease_s: Age of the proof up to which a share is held.
-        proved_at: When the members were proved last.
-        held: Shares in force within the span, each less than the next one.
+        proved_at: Time of the newest proof that the members are current.
+        held: Shares in force within the span, in increasing order.
     """
 
     span_s: float
@@ -38,7 +39,7 @@
     )
 
     def update(self, share: float, now: float, proved_at: float) -> None:
-        """Note the share in force from `now` on, by members of `proved_at`."""
+        """Set the share in force from `now` on, from members of `proved_at`."""
         expired_at = self.proved_at + self.lease_s
         if now > expired_at:
             self.replace(0.0, expired_at)
@@ -46,7 +47,7 @@
         self.replace(share, now)
 
     def replace(self, share: float, at: float) -> None:
-        """Put another share in force."""
+        """Replace the share in force at a time."""
         if share == self.held[-1].share:
             return
         self.held[-1].until = at
@@ -55,7 +56,7 @@
         self.held.append(ShareInterval(share))
 
     def minimum(self, now: float) -> float:
-        """Return the least share of the span that ends now."""
+        """Return the minimum share of the span that ends now."""
         if now > self.proved_at + self.lease_s:
             return 0.0
         while len(self.held) > 1 and self.held[0].until <= now - self.span_s:
--- a/src/_coltsfootroad/core/request.py
+++ b/src/_coltsfootroad/core/request.py
@@ -1,4 +1,4 @@
-"""Requests and the pieces of their answers."""
+"""Requests, chunks of their answers, and stored answers."""
 
 import attrs
 
@@ -11,21 +11,22 @@
 
     Attributes:
         request_id: Unique over the fleet and over restarts.
-        workspace: Name of the workspace that pays.
-        service: Name of the service asked for.
+        workspace: Name of the workspace that is charged.
+        service: Name of the requested service.
         prompt_tokens: Estimated prompt length in tokens, at least 1.
         output_tokens: Upper bound on generated tokens.
         arrived_at: Seconds on the entry's clock.
         deadline_at: Seconds on the entry's clock; always set.
         kind: Engine or plain service.
         priority: Workspace priority, 0 (most urgent) to 9.
-        non_idempotent: Must run at most once.
-        idempotency_key: Key of a resend, empty when there is none.
+        non_idempotent: Whether it must run at most once.
+        idempotency_key: Key that identifies resends, empty if there is none.
         key_time: Creation time of the key in unix seconds.
-        body_hash: Hash of method, path and body; a resend must match.
-        session: Hint for locality, may be empty.
-        prefix_hashes: Chain of hashes of prompt blocks, longest last.
-        payload: Opaque body that the shell hands to the endpoint.
+        body_hash: Hash of method, path and body; a resend must match it.
+        session: Session name as a hint for locality, may be empty.
+        prefix_hashes: Chained hashes of the prompt's blocks, longest prefix
+            last.
+        payload: Opaque body that the shell sends to the endpoint.
     """
 
     request_id: str
@@ -47,18 +48,18 @@
 
     @property
     def cost_tokens(self) -> int:
-        """Return the tokens that rate limits and fairness charge."""
+        """Return the tokens charged by rate limits and the fair queue."""
         return self.prompt_tokens + self.output_tokens
 
     @property
     def needs_claim(self) -> bool:
-        """Return whether a durable claim guards the dispatch."""
+        """Return whether its key must be claimed before dispatch."""
         return self.non_idempotent and bool(self.idempotency_key)
 
 
 @attrs.frozen(kw_only=True)
 class Chunk:
-    """A piece of an answer at a position in the answer's token stream."""
+    """A part of an answer, at a token offset in the answer."""
 
     offset: int
     tokens: int
@@ -68,7 +69,7 @@
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """A whole answer as stored for resends; `status` is an HTTP status."""
+    """A complete answer as stored for resends; `status` is an HTTP status."""
 
     status: int
     body: bytes
--- a/src/_coltsfootroad/core/retries.py
+++ b/src/_coltsfootroad/core/retries.py
@@ -1,4 +1,4 @@
-"""Retry budget and backoff of the one layer that retries."""
+"""Retry budget and backoff of an entry, the only layer that retries."""
 
 import random
 
@@ -13,21 +13,21 @@
 
 @attrs.define
 class RetryBudget:
-    """Allows retries only as a share of fresh requests.
+    """Limits retries to a share of new requests.
 
-    Without it a dying endpoint multiplies its own load by the number of
-    attempts just when the rest have the least to spare.
+    Without a budget, failing endpoints multiply the load by the number of
+    attempts while the remaining endpoints have the least spare capacity.
     """
 
     tokens: float = BUDGET_MAX
     ratio: float = BUDGET_RATIO
 
     def on_request(self) -> None:
-        """Earn a share of a retry for one fresh request."""
+        """Add the share of a retry that one new request earns."""
         self.tokens = min(BUDGET_MAX, self.tokens + self.ratio)
 
     def take(self) -> bool:
-        """Spend one retry if the budget holds one."""
+        """Spend one retry; return whether the budget had one."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -35,6 +35,6 @@
 
 
 def backoff_s(attempt: int, rng: random.Random) -> float:
-    """Return a fully jittered pause in seconds after a failed attempt."""
+    """Return the jittered exponential backoff in seconds after an attempt."""
     ceiling = min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2 ** (attempt - 1))
     return rng.uniform(BASE_BACKOFF_S / 2, ceiling)
--- a/src/_coltsfootroad/core/retryloans.py
+++ b/src/_coltsfootroad/core/retryloans.py
@@ -1,16 +1,16 @@
-"""Retries that the leader has lent to one gateway, for one service."""
+"""Retries that the leader has lent to one gateway for one service."""
 
 import collections
 
 import attrs
 
-# A lent retry is sent within this time after it was asked for.
+# Time after its request within which a lent retry may be sent.
 LOAN_LIFETIME_S = 4.0
 
 
 @attrs.define
 class Loan:
-    """Retries that may be sent until a time."""
+    """Retries that may be sent until the loan expires."""
 
     until: float
     remaining: int
@@ -18,17 +18,17 @@
 
 @attrs.define
 class RetryLoans:
-    """The loans that have not ended, in the order in which they end."""
+    """Unexpired loans, in the order of their expiry."""
 
     loans: collections.deque[Loan] = attrs.Factory(collections.deque)
 
     def add(self, amount: int, until: float) -> None:
-        """Take a loan; a later one ends later."""
+        """Add a loan; it must not expire before loans added earlier."""
         if amount > 0:
             self.loans.append(Loan(until, amount))
 
     def take(self, now: float) -> float | None:
-        """Take one retry; return until when it may be sent, None for none."""
+        """Take one retry; return its expiry time, None if no retry is lent."""
         self.expire(now)
         if not self.loans:
             return None
@@ -39,15 +39,15 @@
         return first.until
 
     def return_unused(self, until: float) -> None:
-        """Take back one retry that was not sent."""
+        """Return one unsent retry to the loans."""
         self.loans.appendleft(Loan(until, 1))
 
     def remaining(self, now: float) -> int:
-        """Return how many retries may be sent now."""
+        """Return the number of retries that may be sent now."""
         self.expire(now)
         return sum(loan.remaining for loan in self.loans)
 
     def expire(self, now: float) -> None:
-        """Drop loans that have ended."""
+        """Drop expired loans."""
         while self.loans and self.loans[0].until < now:
             self.loans.popleft()
--- a/src/_coltsfootroad/core/routeview.py
+++ b/src/_coltsfootroad/core/routeview.py
@@ -55,7 +55,7 @@
         return True
 
     def confirm(self, requested_at: float) -> None:
-        """Note that the version was current at `asked_at`."""
+        """Note that the version was current at `requested_at`."""
         self.confirmed_at = max(self.confirmed_at, requested_at)
 
     def age_s(self, now: float) -> float:
--- a/src/_coltsfootroad/core/sends.py
+++ b/src/_coltsfootroad/core/sends.py
@@ -1,22 +1,22 @@
-"""Where a request has been sent, and whether it may go on to another endpoint.
+"""Tracks the sends of a request and decides whether it may be sent again.
 
-An endpoint's own failure is tried elsewhere as far as the route's attempts go,
-not beyond: most such failures are the request's own. Of the lookups that failed
-at one endpoint of a deployment, 18 of 25 failed at a second one, and asking the
-two again left as many without an answer.
+A request that failed at an endpoint is sent to other endpoints only as often as
+its route allows, since most such failures are caused by the request itself: of
+the lookups that failed at one endpoint of a deployment, 18 of 25 failed at a
+second one, and retrying at both did not answer more of them.
 """
 
 import enum
 
 import attrs
 
-# Sends beyond the route's attempts when an endpoint proved that it did not
-# run the request: such a send costs a round trip and can run nothing twice.
+# Extra sends for endpoints that proved not to have run the request. Such a send
+# costs only a round trip, and the request cannot run twice.
 EXTRA_UNRUN_SENDS = 2
 
 
 class Outcome(enum.Enum):
-    """What a send to one endpoint came to."""
+    """Outcome of a send to one endpoint."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -30,11 +30,11 @@
     """The sends of one request.
 
     Attributes:
-        attempts: Endpoints at which it may run, by its route.
+        attempts: Number of endpoints at which it may run, by its route.
         idempotent: Whether it may run more than once.
-        count: Sends so far.
-        runs: Those of them that may have run.
-        tried: Endpoints that were chosen, whatever came of it.
+        count: Number of sends.
+        runs: Number of sends that may have run.
+        tried: Endpoints that were chosen, regardless of the outcome.
     """
 
     attempts: int
@@ -44,11 +44,11 @@
     tried: set[str] = attrs.Factory(set)
 
     def may_switch(self) -> bool:
-        """Return whether another endpoint could take over a silent send."""
+        """Return whether a silent send may fail over to another endpoint."""
         return self.idempotent and self.runs + 1 < self.attempts
 
     def stop_reason(self, outcome: Outcome) -> str:
-        """Return why nothing more may be sent, empty if something may be."""
+        """Return why the request may not be sent again, empty if it may."""
         if outcome is Outcome.NO_MEMORY:
             return ""
         if outcome is not Outcome.NOT_RUN and not self.idempotent:
--- a/src/_coltsfootroad/core/servicekind.py
+++ b/src/_coltsfootroad/core/servicekind.py
@@ -1,10 +1,10 @@
-"""What stands behind a service."""
+"""Kinds of services."""
 
 import enum
 
 
 class ServiceKind(enum.Enum):
-    """What stands behind a service."""
+    """Whether a service is served by model engines or plain endpoints."""
 
     ENGINE = "engine"
     PLAIN = "plain"
--- a/src/_coltsfootroad/core/servicetime.py
+++ b/src/_coltsfootroad/core/servicetime.py
@@ -1,8 +1,8 @@
-"""Learns how fast an engine reads prompts and generates tokens.
+"""Estimates the prefill and decode speed of an engine.
 
 The linear split into prefill and decode follows eq. (1) and (7) of the
-E3-Agent paper (Research Paper, 2025, section 3.4); docs/design/paper.md has
-what it measured here and what was left out.
+E3-Agent paper (Research Paper, 2025, section 3.4); docs/design/paper.md lists
+the measurements and the parts that were left out.
 """
 
 import collections
@@ -15,7 +15,8 @@
 MIN_SAMPLES = 3
 MIN_RATE = 10.0
 MAX_RATE = 5_000_000.0
-# A sample whose queueing share is larger says more of the queue.
+# Weight of a new estimate; samples with much queueing time say more about the
+# queue than about the engine.
 SMOOTHING = 0.25
 
 
@@ -24,7 +25,7 @@
     """Online estimate of one engine's speed.
 
     Attributes:
-        prefill_rate: Prompt tokens read per second.
+        prefill_rate: Prompt tokens prefilled per second.
         token_s: Seconds between generated tokens.
     """
 
@@ -35,7 +36,11 @@
     )
 
     def observe_prefill(self, tokens: int, ahead: float, seconds: float):
-        """Learn from a first token after `ahead` + `tokens` prompt tokens."""
+        """Add a sample: a first token `seconds` after the prompt was sent.
+
+        `tokens` is the length of the prompt, `ahead` the prompt tokens that
+        were queued before it.
+        """
         if seconds <= 0 or tokens <= 0:
             return
         rate = (tokens + max(ahead, 0.0)) / seconds
@@ -43,18 +48,18 @@
         if len(self.rates) < MIN_SAMPLES:
             return
         ordered = sorted(self.rates)
-        # The upper median: hidden queueing only ever lowers a sample.
+        # The upper quartile, as unknown queueing can only lower a sample.
         target = ordered[(len(ordered) * 3) // 4]
         self.prefill_rate += SMOOTHING * (target - self.prefill_rate)
 
     def observe_decode(self, tokens: int, seconds: float) -> None:
-        """Learn from `tokens` generated after the first in `seconds`."""
+        """Add a sample: `tokens` generated in `seconds` after the first one."""
         if tokens <= 0 or seconds <= 0:
             return
         self.token_s += SMOOTHING * (seconds / tokens - self.token_s)
 
     def prefill_s(self, tokens: float) -> float:
-        """Return the predicted seconds to read `tokens`."""
+        """Return the predicted seconds to prefill `tokens`."""
         return tokens / self.prefill_rate
 
     def decode_s(self, tokens: int) -> float:
--- a/src/_coltsfootroad/core/shedding.py
+++ b/src/_coltsfootroad/core/shedding.py
@@ -1,27 +1,28 @@
-"""Whether a short prompt is sent away at once because of a queue.
-
-The pattern it answers: for some seconds more short prompts come than the
-batches hold. Those that come too late for their aim wait, take each place
-that becomes free, and so everybody after them is late as well, long after
-the rush. Sent away while many already wait, callers come back when places
-are free, and those who come meanwhile are served in time. A short queue is
-left alone: most of those in it are still served sooner than if they came back.
+"""Decides whether to shed a short prompt because late requests are queued.
+
+In a burst, more short prompts arrive than the batches have slots for. Prompts
+that have already missed their target take each slot that becomes free, so that
+all later prompts are late too, long after the burst. If prompts are shed while
+many late requests wait, their callers retry when slots are free, and prompts
+that arrive meanwhile meet their target. A short queue is not shed: most of its
+requests are served sooner than after a retry.
 """
 
 import random
 
 import attrs
 
-# Prompts above this are few and take no place from the short ones for long;
-# their callers bear a late start better than a second try.
+# Longer prompts are never shed: they are few, and a late start costs their
+# callers less than a retry.
 MAX_SHEDDABLE_TOKENS = 30_000
-# Requests that wait although they are late, as a share of all places, above
-# which a caller who comes for the first time is sent away; and above which
-# one who comes back is, who would not come a third time.
+# Late waiting requests, as a share of all batch slots, above which a first try
+# or a retry is shed. Callers do not retry twice, so retries have the higher
+# threshold.
 FIRST_TRY_SHARE = 0.15
 RETRY_SHARE = 0.3
-# When to come back, in seconds, drawn so that callers do not return at once.
-# An answer takes about two seconds, so most places change hands meanwhile.
+# Range of the retry delay in seconds, drawn at random so that callers do not
+# return at the same time. An answer takes about two seconds, so most slots are
+# reassigned within the delay.
 RETRY_AFTER_RANGE_S = (0.6, 1.4)
 
 
@@ -32,8 +33,8 @@
     Attributes:
         prompt_tokens: Length of its prompt.
         predicted_s: Predicted time to the first event.
-        target_s: Its aim.
-        returned: Whether its caller seems to have been here before.
+        target_s: Target for the time to the first event.
+        is_retry: Whether its caller seems to have tried before.
     """
 
     prompt_tokens: int
@@ -45,15 +46,16 @@
 def shed_retry_after_s(
     candidate: Candidate, waiting: int, slots: int, rng: random.Random
 ) -> float | None:
-    """Return when to come back, None for a request that is to be sent.
+    """Return the retry delay in seconds, or None if the request is not shed.
 
-    `waiting` requests are late already, at engines with so many `places`.
+    `waiting` is the number of late requests that wait at engines with `slots`
+    batch slots.
     """
     if candidate.prompt_tokens > MAX_SHEDDABLE_TOKENS:
         return None
     if candidate.predicted_s <= candidate.target_s:
-        # Late or not, no queue makes it so, and a place is free: after a loss
-        # of everything those who were held meanwhile come all at once.
+        # A slot is free. After an outage all held requests arrive at once and
+        # are late already, but no queue delays them.
         return None
     share = RETRY_SHARE if candidate.is_retry else FIRST_TRY_SHARE
     if waiting <= share * slots:
--- a/src/_coltsfootroad/core/startuplimit.py
+++ b/src/_coltsfootroad/core/startuplimit.py
@@ -1,21 +1,21 @@
-"""How many prompts a gateway sends while it cannot know what others send.
+"""Limits the prompts that a gateway sends before it knows the others' load.
 
-The pattern it answers: everybody starts at once, with requests that have waited
-since. The first engines that announce themselves look idle to each of dozens of
-gateways, which hand them several times what they have places for; whoever waits
-there then waits for whole answers, or until the caller leaves. So each gateway
-fills its part of the places that it knows, until it has heard of the others.
+When a whole fleet starts at once, each of dozens of gateways holds requests and
+sees the first announced engines as idle. Together they would send several times
+the prompts that the engines have batch slots for, and the excess would wait for
+whole answers or until the caller disconnects. Each gateway therefore fills only
+its share of the known slots until it knows the load of the other gateways.
 """
 
-# Part of the known places that all gateways together fill. Each draws engines
-# without knowing of the others, so some get twice as many prompts as the mean.
+# Share of the known batch slots that all gateways together fill. Gateways
+# choose engines independently, so some engines get twice the mean.
 FILLED_SLOT_SHARE = 0.5
 
 
 def max_prompts(slots: int, gateways: int) -> int:
-    """Return how many prompts one of some gateways may have under way.
+    """Return the number of prompts that one gateway may have in flight.
 
-    At least one: few gateways have anything to send at a moment.
+    It is at least one, as few gateways have a prompt to send at any time.
     """
     if gateways <= 1:
         return slots
--- a/src/_coltsfootroad/core/stream.py
+++ b/src/_coltsfootroad/core/stream.py
@@ -1,19 +1,19 @@
-"""Puts the pieces of one answer in order, once each."""
+"""Puts the chunks of one answer in order, without duplicates."""
 
 import attrs
 
 from _coltsfootroad.core import request as request_lib
 
-# Pieces held for a gap; engines that leave longer gaps are broken.
+# Chunks buffered behind a gap. An engine with longer gaps is considered faulty.
 MAX_HELD = 256
 
 
 @attrs.define
 class AnswerStream:
-    """Orders and de-duplicates the chunks of the current attempt.
+    """Orders and deduplicates the chunks of the current attempt.
 
-    Chunks carry the attempt they belong to, so that a late answer of an
-    old attempt never mixes into the current one.
+    Chunks carry their attempt's number, so that late chunks of an earlier
+    attempt are not mixed into the current one.
     """
 
     attempt: int = 0
@@ -30,7 +30,7 @@
     def add(
         self, attempt: int, chunk: request_lib.Chunk
     ) -> list[request_lib.Chunk]:
-        """Take a chunk and return those that are now in order."""
+        """Add a chunk; return the chunks that are now in order."""
         if attempt != self.attempt or self.complete:
             return []
         if chunk.offset < self.next_offset:
@@ -42,7 +42,7 @@
         return self.release()
 
     def release(self) -> list[request_lib.Chunk]:
-        """Return the held chunks that follow without a gap."""
+        """Return the buffered chunks that follow without a gap."""
         ready = []
         while self.next_offset in self.held and not self.complete:
             chunk = self.held.pop(self.next_offset)
--- a/src/_coltsfootroad/core/syncing.py
+++ b/src/_coltsfootroad/core/syncing.py
@@ -88,7 +88,7 @@
         requested_at: float,
         now: float,
     ) -> None:
-        """Take the leader's answer to a heartbeat sent at `asked_at`."""
+        """Take the leader's answer to a heartbeat sent at `requested_at`."""
         self.forget_delivered(request)
         if not self.adopt_config(reply.config):
             return
--- a/src/_coltsfootroad/core/windowbudget.py
+++ b/src/_coltsfootroad/core/windowbudget.py
@@ -1,4 +1,4 @@
-"""A retry budget over a sliding window, shared between gateways."""
+"""Retry budget over a sliding window, shared between gateways."""
 
 import collections
 
@@ -6,23 +6,25 @@
 
 from _coltsfootroad.core import retryloans
 
-# Part of the ratio that a gateway uses. The requests of two adjacent windows
-# may earn retries that are sent within one, at other gateways or after a
-# restart, and the fleet's bound counts one of them only.
+# Share of the retry ratio that one gateway uses. Requests of two adjacent
+# windows can earn retries that are sent within one window, by different
+# gateways or across a restart, while the fleet's bound counts the requests of
+# one window only.
 GATEWAY_RATIO_SHARE = 0.5
-# Part of the slack that gateways hold without a message between them.
+# Share of the slack that gateways use without coordination; retries beyond it
+# are lent by the leader.
 PREALLOCATED_SLACK_SHARE = 0.4
-# A retry reaches its endpoint within this time after it was charged, and so
-# counts for that much longer.
+# Longest time from the charge of a retry to its arrival at the endpoint. A
+# retry counts for that much longer than the window.
 ARRIVAL_LAG_S = 0.5
 
 
 @attrs.define(eq=False)
 class RetryReservation:
-    """A retry that a request may send; the budget holds it until then.
+    """A retry that the budget holds for a request until it is sent.
 
     Attributes:
-        lent_until: When its loan ends, None for one of the gateway's own part.
+        lent_until: Expiry time of its loan, None if it was not lent.
     """
 
     lent_until: float | None = None
@@ -30,21 +32,21 @@
 
 @attrs.define
 class WindowBudget:
-    """Allows retries of one service as a share of its requests.
+    """Limits the retries of one service to a share of its requests.
 
-    Every gateway keeps to its part, so that the sum stays within what the
-    fleet may spend without a message between them. A retry is reserved when
-    a request goes on, and charged when it is sent.
+    Each gateway stays within its own share, so that the fleet stays within its
+    bound without coordination. A retry is reserved when a request needs
+    another send, and charged when it is sent.
 
     Attributes:
-        ratio: Retries for each request of the window.
+        ratio: Retries that each request of the window earns.
         slack: Retries beyond that, over all gateways.
         window_s: Length of the window.
-        loans: What the leader has lent beyond the gateway's own part.
+        loans: Retries lent by the leader beyond the gateway's own share.
         reserved: Retries that are reserved and not sent yet.
-        counted: Requests counted since the start of the process.
-        sent: Retries charged since then.
-        refused: Retries refused since then.
+        counted: Requests since the start of the process.
+        sent: Retries charged since the start of the process.
+        refused: Retries refused since the start of the process.
     """
 
     ratio: float
@@ -59,7 +61,7 @@
     refused: int = 0
 
     def on_request(self, now: float) -> None:
-        """Count a fresh request."""
+        """Count a new request."""
         self.counted += 1
         self.requests.append(now)
         self.trim(now)
@@ -67,9 +69,9 @@
     def reserve(
         self, slack_share: float, now: float
     ) -> RetryReservation | None:
-        """Hold one retry if the window has room or one is lent, else None.
+        """Reserve a retry, lent or from the window; None if there is no room.
 
-        `floor_share` is this gateway's settled part of the slack, 0 to 1.
+        `slack_share` is this gateway's share of the slack, 0 to 1.
         """
         lent_until = self.loans.take(now)
         if lent_until is not None:
@@ -84,9 +86,9 @@
     def charge(
         self, retry: RetryReservation, slack_share: float, now: float
     ) -> bool:
-        """Count a reserved retry as sent now; return whether it may be.
+        """Charge a reserved retry at its send; return whether it may be sent.
 
-        The window may have less room than when it was reserved.
+        The window can have less room than at the time of the reservation.
         """
         if not self.redeem(retry, slack_share, now):
             self.refused += 1
@@ -99,7 +101,7 @@
     def redeem(
         self, retry: RetryReservation, slack_share: float, now: float
     ) -> bool:
-        """Take a reserved retry back; return whether it may be sent now."""
+        """End a reservation; return whether the retry may be sent now."""
         if retry.lent_until is not None:
             return now <= retry.lent_until
         self.reserved -= 1
@@ -107,27 +109,27 @@
         return self.has_room(slack_share)
 
     def release(self, retry: RetryReservation) -> None:
-        """Give back a retry that is not sent."""
+        """Cancel the reservation of a retry that is not sent."""
         if retry.lent_until is not None:
             self.loans.return_unused(retry.lent_until)
         else:
             self.reserved -= 1
 
     def has_room(self, slack_share: float) -> bool:
-        """Return whether the window holds one more retry."""
+        """Return whether the window has room for one more retry."""
         return self.used() + 1 <= self.allowed(slack_share)
 
     def used(self) -> int:
-        """Return the retries of the window, sent or reserved."""
+        """Return the number of sent and reserved retries of the window."""
         return len(self.retries) + self.reserved
 
     def allowed(self, slack_share: float) -> float:
-        """Return the retries that the window may hold."""
+        """Return the number of retries that the window may hold."""
         earned = self.ratio * GATEWAY_RATIO_SHARE * len(self.requests)
         return earned + self.slack * PREALLOCATED_SLACK_SHARE * slack_share
 
     def trim(self, now: float) -> None:
-        """Drop what has left the window."""
+        """Drop requests and retries that are older than the window."""
         drop_until(self.requests, now - self.window_s)
         drop_until(self.retries, now - self.window_s - ARRIVAL_LAG_S)
 
--- a/src/_coltsfootroad/core/work.py
+++ b/src/_coltsfootroad/core/work.py
@@ -1,26 +1,26 @@
-"""One request, or one part of a prompt, at one endpoint."""
+"""A work item: one request, or one part of a prompt, at one endpoint."""
 
 import attrs
 
 
 @attrs.define
 class Work:
-    """What is known of a piece of work.
+    """A request or part of a prompt that was sent to an endpoint.
 
     Attributes:
-        endpoint: Where it is.
+        endpoint: Name of the endpoint.
         prompt_tokens: Tokens of the whole prompt.
-        output_tokens: Tokens that it may write at most.
-        kv_tokens: Tokens of the endpoint's memory that it fills at most.
-        parts: Engines among which the prompt is read.
-        leads: Whether this endpoint writes the answer.
-        sent_at: When it was sent, seconds of the local clock.
-        writing: Whether its first event has come.
-        gap_target_s: Longest pause that is still on time, 0 once one was
-            longer or if pauses do not matter.
-        value: What its caller loses by a late answer, relative.
-        late: Whether it was late already when it was sent; an engine then
-            serves it after those that can be on time.
+        output_tokens: Upper bound on generated tokens.
+        kv_tokens: Upper bound on the KV cache tokens at this endpoint.
+        parts: Number of engines over which the prefill is split.
+        leads: Whether this endpoint decodes and returns the answer.
+        sent_at: Time of the send, seconds of the local clock.
+        writing: Whether the first event of the answer has arrived.
+        gap_target_s: Target for the pause between two events; 0 after a longer
+            pause, or if pauses do not matter.
+        value: Relative cost of a late answer to the caller.
+        late: Whether it had missed its target when it was sent. An engine
+            serves it after requests that can meet theirs.
     """
 
     endpoint: str
@@ -37,5 +37,5 @@
 
     @property
     def is_late_waiting(self) -> bool:
-        """Return whether it waits for its first event although it is late."""
+        """Return whether it is late and its first event has not arrived."""
         return self.late and self.leads and not self.writing
--- a/src/_coltsfootroad/core/workload.py
+++ b/src/_coltsfootroad/core/workload.py
@@ -1,25 +1,25 @@
-"""What every gateway has sent to each endpoint and is not done yet."""
+"""Tracks unfinished work of all gateways at each endpoint."""
 
 import attrs
 
 from _coltsfootroad.core import loadindex
 from _coltsfootroad.core import work as work_lib
 
-# A gateway that has been silent this long is dead or cut off; what it had
-# sent has ended with it or will not be heard of again.
+# A gateway without a summary for this long has crashed or is partitioned. Its
+# work has ended with it or cannot be tracked any longer.
 GATEWAY_TIMEOUT_S = 2.5
 MS = 1000
-# Stands for this gateway among the keys of all work.
+# Stands for this gateway's name in the keys of the load index.
 OWN_GATEWAY = ""
 
 
 @attrs.frozen
 class Change:
-    """Work that has begun, changed or ended, as other gateways learn of it.
+    """A change of one work item, as it is sent to other gateways.
 
-    Encoded as a list, as field names would be most of the bytes. The age
-    is told in place of the time, since clocks differ between VMs. An empty
-    endpoint says that the work has ended.
+    Encoded as a list, since field names would be most of the bytes. The age
+    replaces the start time, since clocks differ between VMs. An empty endpoint
+    means that the work has ended.
     """
 
     key: int
@@ -38,7 +38,7 @@
 
 @attrs.frozen(kw_only=True)
 class Summary:
-    """Changes of one gateway's work, or all of it if `full`."""
+    """Changes of one gateway's work, or all its work if `full`."""
 
     gateway: str
     incarnation: int
@@ -49,13 +49,13 @@
 
 @attrs.define
 class ForeignWork:
-    """What is known of another gateway's work.
+    """Known work of another gateway.
 
     Attributes:
-        mark: Its start and the number of its newest summary.
-        heard_at: When that came.
-        works: Its work by its own keys.
-        prompts: Keys of those that are prompts.
+        mark: Incarnation and sequence number of its newest summary.
+        received_at: Arrival time of that summary.
+        works: Work items by the keys that the gateway gave them.
+        prompts: Keys of the work items that are prompts.
     """
 
     mark: tuple[int, int]
@@ -66,15 +66,16 @@
 
 @attrs.define
 class Workload:
-    """Own work and that of the other gateways, and all of it by endpoint.
+    """Work of this gateway and of the others, and all work by endpoint.
 
     Attributes:
-        own: Own work by key.
-        foreign: That of other gateways by their names.
-        index: All of it by endpoint.
-        changed: Keys of own work that others do not know as it is now.
-        told: Keys of own work that others know of.
-        next_key: The key of the next piece of work.
+        own: Work of this gateway by key.
+        foreign: Work of other gateways by gateway name.
+        index: All work by endpoint.
+        changed: Keys of own work with unpublished changes, in the order of the
+            changes.
+        published: Keys of own work that was published to other gateways.
+        next_key: Key of the next work item.
     """
 
     own: dict[int, work_lib.Work] = attrs.Factory(dict)
@@ -85,7 +86,7 @@
     next_key: int = 1
 
     def add(self, work: work_lib.Work) -> int:
-        """Record work that is about to be sent; return its key."""
+        """Add own work that is about to be sent; return its key."""
         key = self.next_key
         self.next_key += 1
         self.own[key] = work
@@ -93,7 +94,10 @@
         return key
 
     def remove(self, key: int) -> None:
-        """Forget work that has ended; nobody hears of what was never told."""
+        """Remove own work that has ended.
+
+        The end is published only if the work was published before.
+        """
         work = self.own.pop(key, None)
         if work is None:
             return
@@ -105,19 +109,19 @@
             self.changed.pop(key, None)
 
     def mark_changed(self, key: int) -> None:
-        """Note that own work has changed in place."""
+        """Mark own work as changed in place."""
         self.changed[key] = None
         self.index.put((OWN_GATEWAY, key), self.own[key])
 
     def collect_changes(self, full: bool, now: float) -> tuple[Change, ...]:
-        """Return what the others do not know yet, or all work."""
+        """Return the unpublished changes, or all own work if `full`."""
         keys = list(self.own if full else self.changed)
         self.changed.clear()
         self.published = set(self.own)
         return tuple(self.make_change(key, now) for key in keys)
 
     def make_change(self, key: int, now: float) -> Change:
-        """Return what others are told of one piece of work."""
+        """Return the change that publishes one work item."""
         work = self.own.get(key)
         if work is None:
             return Change(key)
@@ -137,10 +141,10 @@
         )
 
     def apply_summary(self, summary: Summary, now: float) -> bool:
-        """Take another gateway's summary unless a later one is known.
+        """Apply another gateway's summary unless a later one was applied.
 
-        A lost datagram leaves work unknown or forgotten too late, until the
-        next full summary.
+        Returns whether it was applied. After a lost datagram, work is missing
+        or outdated until the next full summary.
         """
         mark = (summary.incarnation, summary.seq)
         known = self.foreign.get(summary.gateway)
@@ -159,7 +163,7 @@
     def apply_change(
         self, gateway: str, known: ForeignWork, change: Change, now: float
     ) -> None:
-        """Take one change of another gateway's work."""
+        """Apply one change of another gateway's work."""
         key = (gateway, change.key)
         before = known.works.pop(change.key, None)
         known.prompts.discard(change.key)
@@ -172,17 +176,17 @@
             known.prompts.add(change.key)
 
     def count_own_prompts(self) -> int:
-        """Return how many prompts this gateway has at engines."""
+        """Return the number of prompts that this gateway has at engines."""
         return sum(
             work.leads and work.prompt_tokens > 0 for work in self.own.values()
         )
 
     def gateways_with_prompts(self) -> set[str]:
-        """Return the other gateways that have prompts at engines."""
+        """Return the names of other gateways that have prompts at engines."""
         return {name for name, known in self.foreign.items() if known.prompts}
 
     def drop_gateway(self, gateway: str) -> None:
-        """Forget all work of another gateway."""
+        """Remove all work of another gateway."""
         known = self.foreign.pop(gateway, None)
         if known is None:
             return
@@ -190,7 +194,7 @@
             self.index.drop((gateway, key), work)
 
     def expire(self, now: float) -> None:
-        """Forget gateways that have been silent for long."""
+        """Remove gateways whose last summary is older than the timeout."""
         for name, known in list(self.foreign.items()):
             if now - known.received_at > GATEWAY_TIMEOUT_S:
                 self.drop_gateway(name)
@@ -201,7 +205,7 @@
 
 
 def to_work(change: Change, now: float) -> work_lib.Work:
-    """Return the work that a change tells of."""
+    """Return the work item that a change describes."""
     return work_lib.Work(
         endpoint=change.endpoint,
         prompt_tokens=change.prompt_tokens,
