--- a/features/core/backlog.feature
+++ b/features/core/backlog.feature
@@ -1,11 +1,11 @@
-Feature: What a leader lacks of endpoints reaches it in bounded requests
+Feature: Endpoint announcements reach a leader that lacks them in bounded requests
 
-  Guards against requests that grow with the number of endpoints and are sent
-  again whole after each lost response.
+  Guards against requests that grow with the number of endpoints and are resent
+  in full after each lost response.
 
-  Scenario Outline: A <watcher> brings <count> endpoints, <lost> of 2 responses are lost
-    Given a <watcher> that has to bring <count> endpoints
-    When <lost> of 2 responses are lost until nothing is left
+  Scenario Outline: A <watcher> delivers <count> endpoints, <lost> of 2 responses are lost
+    Given a <watcher> with <count> undelivered endpoints
+    When <lost> of 2 responses are lost until all endpoints are delivered
     Then each endpoint was delivered, in <requests> requests of at most 500
 
     Examples:
@@ -18,12 +18,12 @@
       | gateway | 1300  | 0    | 3        |
       | gateway | 1300  | 1    | 6        |
 
-  Scenario: A later announcement is delivered although an earlier one was
-    Given a relay that has to bring 1 endpoints
+  Scenario: A newer announcement is delivered after an older one
+    Given a relay with 1 undelivered endpoints
     When its endpoint is announced again while a request is in flight
-    Then the later announcement is in the next request
+    Then the newer announcement is in the next request
 
-  Scenario: A gateway brings nothing of an endpoint that has expired meanwhile
-    Given a gateway that has to bring 2 endpoints
+  Scenario: A gateway does not deliver an endpoint that has expired
+    Given a gateway with 2 undelivered endpoints
     When one of its endpoints expires before the request
-    Then the request tells of the other one only
+    Then the request contains only the other endpoint
--- a/features/core/bounds.feature
+++ b/features/core/bounds.feature
@@ -1,12 +1,12 @@
-Feature: Bounds that keep one fault from becoming many
+Feature: Bounds that keep a single failure from spreading
 
-  Scenario: Nothing counts as stored before it is synced
+  Scenario: A batch is not acknowledged before it is synced
     Given an empty data folder
     When a batch is stored
-    Then the log was synced after its last byte and before the answer
+    Then the log was synced after its last byte and before the acknowledgement
 
-  Scenario Outline: Retries stay a share of fresh requests
-    Given a retry budget that <spent> and then <requests> fresh requests
+  Scenario Outline: Retries stay a share of new requests
+    Given a retry budget that <spent> and then <requests> new requests
     Then it allows <most> retries and no more
 
     Examples:
@@ -16,8 +16,8 @@
       | is spent      | 100      | 10   |
       | is spent      | 10000    | 20   |
 
-  Scenario Outline: Few endpoints are ejected at a time
-    When all of <count> endpoints fail again and again
+  Scenario Outline: Only a share of the endpoints is ejected at a time
+    When all of <count> endpoints fail repeatedly
     Then <most> of them are ejected
 
     Examples:
@@ -27,7 +27,7 @@
       | 9     | 3    |
 
   Scenario Outline: Each program names its commands and flags
-    When "<program>" is asked for help
+    When "<program>" prints its help
     Then the help names "<words>"
 
     Examples:
@@ -40,34 +40,34 @@
       | colts-standalone | --settings     |
       | colts-replay     | --settings     |
 
-  Scenario: A connection that nobody accepts is given up
-    Given an endpoint whose queue of new connections is full
-    Then a connection to it is given up within 0.3 to 1 s
+  Scenario: Connecting to an endpoint that accepts no connections times out
+    Given an endpoint whose accept queue is full
+    Then connecting to it times out within 0.3 to 1 s
 
-  Scenario: A kept connection is not used late in the time promised for it
-    Given an endpoint that keeps connections for 1 s
-    Then a request 0.2 s later uses the kept one, and 0.7 s later a new one
+  Scenario: An idle connection is not reused close to its keep-alive timeout
+    Given an endpoint with a keep-alive timeout of 1 s
+    Then a request 0.2 s later reuses the connection, and one 0.7 s later opens a new one
 
-  Scenario: Endpoints that run nothing are not tried without end
-    Given 9 endpoints that all say that they did not run a request
+  Scenario: Sends to endpoints that reject requests are bounded
+    Given 9 endpoints that all report that they did not run a request
     Then a route of 2 attempts sends it 4 times
 
-  Scenario: A gateway that has just started holds so many requests and no more
+  Scenario: A gateway that has just started holds a bounded number of requests
     Given a gateway that has just started and holds 300 requests
     Then one more is not held
 
-  Scenario: A summary of much work fits a datagram
-    Given a gateway with 2000 pieces of work
-    Then what it tells has 800 pieces and less than 65000 bytes
+  Scenario: A summary of many work items fits a datagram
+    Given a gateway with 2000 work items
+    Then its summary has 800 work items and less than 65000 bytes
 
-  Scenario Outline: A <who> that is not heard of any more is dropped
-    Given a leader that hears of a <who>
+  Scenario Outline: A leader drops a silent <member>
+    Given a leader that knows a <member>
     Then it is known for <known> s and dropped after <dropped> s
 
     Examples:
-      | who      | known | dropped |
+      | member   | known | dropped |
       | gateway  | 1.5   | 1.7     |
       | endpoint | 7.9   | 8.1     |
 
-  Scenario: A prompt that would fill an engine to the last token is shared
+  Scenario: A prompt that would fill an engine to the last token is split
     Then a prompt that leaves 10000 tokens free is held by two engines
--- a/features/core/config.feature
+++ b/features/core/config.feature
@@ -1,6 +1,6 @@
-Feature: Configuration is checked, and faults name the key
+Feature: Configuration is validated, and errors name the key
 
-  Scenario Outline: <document> is refused
+  Scenario Outline: <document> is rejected
     When the configuration <document> is parsed
     Then it is refused with words "<words>"
 
--- a/features/core/fairqueue.feature
+++ b/features/core/fairqueue.feature
@@ -1,4 +1,4 @@
-Feature: The queue is fair by tokens and lets longer bands through
+Feature: The queue is fair by tokens and does not starve longer bands
 
   Scenario: A workspace of long prompts gets no more tokens than another
     Given "big" queues 10 prompts of 1000 tokens and "small" 100 of 100
@@ -10,7 +10,7 @@
     When 2000 tokens are dispatched with weights 3 and 1
     Then "big" has got about 3 times what "small" has
 
-  Scenario: Long prompts go on while short ones keep coming
+  Scenario: Long prompts are dispatched while short ones keep arriving
     Given 1 long prompt of 4000 tokens and 40 short ones of 1000 wait
     Then the long prompt is dispatched after 16 short ones
 
--- a/features/core/fanout.feature
+++ b/features/core/fanout.feature
@@ -1,12 +1,12 @@
-Feature: One copy of what a gateway tells goes to each other zone
+Feature: One copy of a gateway's summary goes to each other zone
 
-  Scenario Outline: What <zones> zones of <used> gateways in use cost between zones
+  Scenario Outline: Datagrams between <zones> zones with <used> gateways in use each
     Given <zones> zones with <used> gateways in use each
-    When one of them begins and ends a piece of work
-    Then each other gateway in use has heard both
-    And <between> datagrams went between zones
+    When one of them begins and ends a work item
+    Then each other gateway in use has received both changes
+    And <between> datagrams were sent between zones
 
-    Examples: two for each other zone, however many gateways it has
+    Examples: two per other zone, regardless of its number of gateways
       | zones | used | between |
       | 1     | 4    | 0       |
       | 3     | 1    | 4       |
@@ -14,16 +14,16 @@
       | 5     | 8    | 8       |
       | 12    | 8    | 22      |
 
-  Scenario: A gateway that passes nothing on hides a sender for one turn only
+  Scenario: A gateway that does not forward hides a sender for one turn only
     Given 3 zones with 8 gateways in use each
-    When one of them has work and 8 turns go by beside a gateway that is frozen
-    Then each other running gateway has heard that work in the last 3 turns
+    When one of them has work for 8 turns while another gateway is frozen
+    Then each other running gateway has received that work in the last 3 turns
 
-  Scenario: A gateway that hears of no zone but its own spreads what it is told
+  Scenario: A gateway that knows only its own zone forwards summaries of other zones
     Given 2 zones with 4 gateways in use each
-    When the receivers in the other zone know each other only
-    And one of them begins and ends a piece of work
-    Then each other gateway in use has heard both
+    When the receivers in the other zone know only each other
+    And one of them begins and ends a work item
+    Then each other gateway in use has received both changes
 
-  Scenario: A datagram of a program that passes nothing on is read
-    Then a summary without the last field is taken and not passed on
+  Scenario: A datagram of a program version without forwarding is decoded
+    Then a summary without the last field is applied and not forwarded
--- a/features/core/lengths.feature
+++ b/features/core/lengths.feature
@@ -1,4 +1,4 @@
-Feature: Length bands follow the arrivals
+Feature: Length bands adapt to the arrivals
 
   Scenario Outline: The short border is the clamped 0.8 quantile
     Given 256 arrivals of <short> tokens and <long_count> of <long> tokens
--- a/features/gateway/parts.feature
+++ b/features/gateway/parts.feature
@@ -129,6 +129,6 @@
     Then <what> stays at or below <most>
 
     Examples:
-      | what                                  | most |
-      | the rest after 30 failures in a row   | 5    |
-      | the number of gone endpoints of 9000  | 4096 |
+      | what                                         | most |
+      | the ejection time after 30 failures in a row | 5    |
+      | the number of gone endpoints of 9000         | 4096 |
--- a/features/steps/backlog_steps.py
+++ b/features/steps/backlog_steps.py
@@ -1,4 +1,4 @@
-"""Steps on announcements that watchers bring to a leader that lacks them."""
+"""Steps on announcements that watchers deliver to a leader that lacks them."""
 
 import attrs
 from behave import given
@@ -13,12 +13,12 @@
 from features.support import relayhistories
 
 NOW_S = 2_000.0
-MOST_REQUESTS = 50
+MAX_REQUESTS = 50
 RELAY = relayhistories.RELAY
 
 
 def announcement(number: int, seq: int = 1) -> registry.Announcement:
-    """Return what an endpoint announces."""
+    """Return an announcement of an endpoint."""
     return registry.Announcement(
         endpoint=f"e{number}",
         incarnation=1,
@@ -29,13 +29,13 @@
 
 
 def response(whole: bool = False) -> watching.News:
-    """Return a response of a leader, that may know nothing."""
-    told = watching.Changes(whole=True) if whole else None
-    return watching.News(epoch="e/2", registry_mark=1, told=told)
+    """Return a leader's response, complete if `whole`."""
+    changes = watching.Changes(whole=True) if whole else None
+    return watching.News(epoch="e/2", registry_mark=1, told=changes)
 
 
 class RelaySubject:
-    """A relay whose leader lacks endpoints."""
+    """A relay whose leader lacks some endpoints."""
 
     def __init__(self, count: int):
         self.mirror = mirror_lib.Mirror(RELAY)
@@ -46,12 +46,12 @@
         return self.mirror.question(NOW_S, 0.0)
 
     def receive(self, request, news) -> None:
-        """Take the response to a request."""
+        """Handle the response to a request."""
         self.mirror.take(request, news, NOW_S, NOW_S)
 
 
 class GatewaySubject:
-    """A gateway that a leader which knows nothing has answered."""
+    """A gateway after the response of a leader without any endpoints."""
 
     def __init__(self, count: int):
         self.gateway = gatewaybed.Bed.without_sockets("g1", "za")
@@ -66,24 +66,24 @@
         return self.watch.question()
 
     def receive(self, request, news) -> None:
-        """Take the response to a request."""
+        """Handle the response to a request."""
         self.watch.take(request, news, NOW_S)
 
 
 SUBJECTS = {"relay": RelaySubject, "gateway": GatewaySubject}
 
 
-@given("a {kind} that has to bring {count:d} endpoints")
+@given("a {kind} with {count:d} undelivered endpoints")
 def subject(context, kind, count):
     context.subject = SUBJECTS[kind](count)
     context.count = count
 
 
-@when("{lost:d} of 2 responses are lost until nothing is left")
+@when("{lost:d} of 2 responses are lost until all endpoints are delivered")
 def deliver(context, lost):
     context.requests = []
     context.delivered = []
-    for number in range(MOST_REQUESTS):
+    for number in range(MAX_REQUESTS):
         request = context.subject.request()
         if not request.announcements:
             return
@@ -91,7 +91,7 @@
         if number % 2 >= lost:
             context.delivered += request.announcements
             context.subject.receive(request, response())
-    raise AssertionError("something is left")
+    raise AssertionError("announcements are still undelivered")
 
 
 @then("each endpoint was delivered, in {count:d} requests of at most {most:d}")
@@ -106,14 +106,14 @@
 @when("its endpoint is announced again while a request is in flight")
 def announced_again(context):
     request = context.subject.request()
-    context.later = attrs.evolve(request.announcements[0], seq=2)
-    context.subject.mirror.backlog.add(context.later)
+    context.newer = attrs.evolve(request.announcements[0], seq=2)
+    context.subject.mirror.backlog.add(context.newer)
     context.subject.receive(request, response())
 
 
-@then("the later announcement is in the next request")
-def later_is_next(context):
-    assert context.subject.request().announcements == (context.later,)
+@then("the newer announcement is in the next request")
+def newer_is_next(context):
+    assert context.subject.request().announcements == (context.newer,)
 
 
 @when("one of its endpoints expires before the request")
@@ -121,7 +121,7 @@
     context.subject.gateway.endpoints.expire("e0")
 
 
-@then("the request tells of the other one only")
+@then("the request contains only the other endpoint")
 def other_only(context):
-    told = context.subject.request().announcements
-    assert [item.endpoint for item in told] == ["e1"], told
+    sent = context.subject.request().announcements
+    assert [item.endpoint for item in sent] == ["e1"], sent
--- a/features/steps/bounds_steps.py
+++ b/features/steps/bounds_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the bounds that no other feature would miss."""
+"""Steps on bounds of retries, ejections, endpoints and stored batches."""
 
 import os
 import pathlib
@@ -18,7 +18,7 @@
 from _coltsfootroad.core import retries
 from _coltsfootroad.shell import disk
 
-# More retries than any budget here holds.
+# More retries than any budget allows.
 MANY = 1_000
 PROGRAMS = pathlib.Path(sys.executable).parent
 
@@ -44,20 +44,20 @@
     )
     with mock.patch.object(os, "fdatasync", sync):
         stored = context.data.store(storage.Batch(entries=(entry,)))
-        context.synced_by_answer = list(context.sizes)
+        context.synced_when_acked = list(context.sizes)
     assert stored.is_ok()
 
 
-@then("the log was synced after its last byte and before the answer")
+@then("the log was synced after its last byte and before the acknowledgement")
 def synced(context):
     path = context.data.log_path(context.data.sequence)
     size = path.stat().st_size
     context.data.close()
     assert size > 100
-    assert context.synced_by_answer == [size], context.synced_by_answer
+    assert context.synced_when_acked == [size], context.synced_when_acked
 
 
-@given("a retry budget that {spent} and then {requests:d} fresh requests")
+@given("a retry budget that {spent} and then {requests:d} new requests")
 def spent_budget(context, spent, requests):
     context.budget = retries.RetryBudget()
     if spent == "is spent":
@@ -70,11 +70,11 @@
 @then("it allows {most:d} retries and no more")
 def allows(context, most):
     taken = sum(context.budget.take() for _ in range(MANY))
-    # A share of a tenth is not exact in binary.
+    # The ratio of 0.1 has no exact binary representation.
     assert most - 1 <= taken <= most, taken
 
 
-@when("all of {count:d} endpoints fail again and again")
+@when("all of {count:d} endpoints fail repeatedly")
 def all_fail(context, count):
     table = outliers.OutlierDetector()
     names = [f"e{n}" for n in range(count)]
@@ -89,8 +89,8 @@
     assert len(context.ejected) == most, context.ejected
 
 
-@when('"{program}" is asked for help')
-def asked_for_help(context, program):
+@when('"{program}" prints its help')
+def prints_help(context, program):
     context.help = subprocess.run(
         [str(PROGRAMS / program), "--help"],
         capture_output=True,
@@ -105,15 +105,15 @@
     assert words in context.help, context.help
 
 
-def rest_after_failures() -> float:
-    """Return how long an endpoint rests that fails again and again."""
+def ejection_after_failures() -> float:
+    """Return how long an endpoint is ejected that fails repeatedly."""
     endpoints = endpointset.EndpointSet()
     endpoints.learn(announcement("e1"))
     return max(endpoints.on_failure("e1", 0.0, True) for _ in range(30))
 
 
 def gone_endpoints() -> int:
-    """Return how many gone endpoints are remembered of many."""
+    """Return how many of many gone endpoints are remembered."""
     endpoints = endpointset.EndpointSet()
     for number in range(9_000):
         endpoints.bury(f"e{number}", 1)
@@ -121,14 +121,14 @@
 
 
 def announcement(name: str) -> registry.Announcement:
-    """Return what an endpoint says of itself."""
+    """Return an announcement of an endpoint."""
     return registry.Announcement(
         endpoint=name, incarnation=1, seq=1, service="s"
     )
 
 
 BOUNDED = {
-    "the rest after 30 failures in a row": rest_after_failures,
+    "the ejection time after 30 failures in a row": ejection_after_failures,
     "the number of gone endpoints of 9000": gone_endpoints,
 }
 
--- a/features/steps/fanout_steps.py
+++ b/features/steps/fanout_steps.py
@@ -1,4 +1,4 @@
-"""Steps on telling work to gateways of other zones, without sockets."""
+"""Steps on publishing work to gateways of other zones, without sockets."""
 
 from behave import given
 from behave import then
@@ -14,7 +14,7 @@
 FIRST_PORT = 20_000
 
 
-class Wires:
+class Network:
     """Delivers datagrams at once and counts those between zones."""
 
     def __init__(self):
@@ -22,12 +22,12 @@
         self.between = 0
         self.frozen: set[str] = set()
 
-    def zone_of(self, teller: gossip_lib.Gossip) -> str:
+    def zone_of(self, gossiper: gossip_lib.Gossip) -> str:
         """Return the zone of a gateway."""
-        return teller.gateway.settings.availability_zone
+        return gossiper.gateway.settings.availability_zone
 
     def deliver(self, sender, data, address) -> None:
-        """Hand a datagram over unless its receiver stands still."""
+        """Deliver a datagram unless its receiver is frozen."""
         receiver = self.gossips[address]
         self.between += self.zone_of(sender) != self.zone_of(receiver)
         if receiver.gateway.settings.gateway not in self.frozen:
@@ -37,20 +37,20 @@
 class Socket:
     """The socket of one gateway."""
 
-    def __init__(self, wires: Wires, owner: gossip_lib.Gossip):
-        self.wires = wires
+    def __init__(self, network: Network, owner: gossip_lib.Gossip):
+        self.network = network
         self.owner = owner
 
     def is_closing(self):
-        """Return whether the socket closes."""
+        """Return whether the socket is closing."""
         return False
 
     def sendto(self, data, address):
         """Send a datagram."""
-        self.wires.deliver(self.owner, data, address)
+        self.network.deliver(self.owner, data, address)
 
     def close(self):
-        """Close nothing."""
+        """Do nothing."""
 
 
 def member(zone: int, place: int, port: int) -> addresses.Member:
@@ -66,34 +66,36 @@
 
 @given("{zones:d} zones with {used:d} gateways in use each")
 def zones_of(context, zones, used):
-    context.wires = Wires()
+    context.network = Network()
     context.members = tuple(
         member(zone, place, FIRST_PORT + zone * used + place)
         for zone in range(zones)
         for place in range(used)
     )
-    for one in context.members:
-        bed = gatewaybed.Bed.without_sockets(one.entry, one.availability_zone)
+    for gateway in context.members:
+        bed = gatewaybed.Bed.without_sockets(
+            gateway.entry, gateway.availability_zone
+        )
         bed.view.member_view.learn(context.members, (), True)
-        # All of them, whatever part of a zone is in use otherwise.
+        # Use all gateways of a zone, not just a share of them.
         rotation = bed.view.rotation
         rotation.seen = bed.view.member_view.changes
         rotation.chosen = context.members
-        teller = gossip_lib.Gossip(bed)
-        teller.transport = Socket(context.wires, teller)
-        host, port = one.peer_address.split(":")
-        context.wires.gossips[(host, int(port))] = teller
-    context.tellers = {
-        t.gateway.settings.gateway: t for t in context.wires.gossips.values()
+        gossiper = gossip_lib.Gossip(bed)
+        gossiper.transport = Socket(context.network, gossiper)
+        host, port = gateway.peer_address.split(":")
+        context.network.gossips[(host, int(port))] = gossiper
+    context.gossipers = {
+        t.gateway.settings.gateway: t for t in context.network.gossips.values()
     }
 
 
-@when("the receivers in the other zone know each other only")
+@when("the receivers in the other zone know only each other")
 def know_themselves(context):
-    for name, teller in context.tellers.items():
+    for name, gossiper in context.gossipers.items():
         if not name.startswith("z1"):
             continue
-        view = teller.gateway.view
+        view = gossiper.gateway.view
         near = tuple(m for m in context.members if m.entry.startswith("z1"))
         view.member_view.learn(near, (), True)
         view.member_view.known = {m.entry: m for m in near}
@@ -101,78 +103,78 @@
         view.rotation.chosen = near
 
 
-@when("one of them begins and ends a piece of work")
+@when("one of them begins and ends a work item")
 def begins_and_ends(context):
     context.sender = "z0-0"
-    teller = context.tellers[context.sender]
-    load = teller.gateway.load
+    gossiper = context.gossipers[context.sender]
+    load = gossiper.gateway.load
     key = load.add(work_lib.Work(endpoint="e1"))
-    teller.send()
-    context.heard = [heard(context, key)]
+    gossiper.send()
+    context.received = [received(context, key)]
     load.remove(key)
-    teller.send()
-    context.heard.append(heard(context, key))
+    gossiper.send()
+    context.received.append(received(context, key))
 
 
-def heard(context, key: int) -> dict[str, bool]:
-    """Return by gateway whether it believes in a piece of work."""
+def received(context, key: int) -> dict[str, bool]:
+    """Return by gateway whether it knows a work item."""
     found = {}
-    for name, teller in context.tellers.items():
-        known = teller.gateway.load.foreign.get(context.sender)
+    for name, gossiper in context.gossipers.items():
+        known = gossiper.gateway.load.foreign.get(context.sender)
         found[name] = known is not None and key in known.works
     del found[context.sender]
     return found
 
 
-@then("each other gateway in use has heard both")
-def heard_both(context):
-    begun, ended = context.heard
+@then("each other gateway in use has received both changes")
+def received_both(context):
+    begun, ended = context.received
     assert all(begun.values()), begun
     assert not any(ended.values()), ended
 
 
-@then("{count:d} datagrams went between zones")
+@then("{count:d} datagrams were sent between zones")
 def between(context, count):
-    assert context.wires.between == count, context.wires.between
+    assert context.network.between == count, context.network.between
 
 
 @when(
-    "one of them has work and {turns:d} turns go by beside a gateway that is"
-    " frozen"
+    "one of them has work for {turns:d} turns while another gateway is frozen"
 )
 def turns_go_by(context, turns):
     context.sender = "z0-0"
-    context.wires.frozen = {"z1-0"}
-    teller = context.tellers[context.sender]
-    teller.gateway.load.add(work_lib.Work(endpoint="e1"))
+    context.network.frozen = {"z1-0"}
+    gossiper = context.gossipers[context.sender]
+    gossiper.gateway.load.add(work_lib.Work(endpoint="e1"))
     context.seen = []
     for _ in range(turns):
-        teller.send_summary(full=True)
+        gossiper.send_summary(full=True)
         context.seen.append(
             {
                 name: other.gateway.load.foreign.get(context.sender)
-                for name, other in context.tellers.items()
+                for name, other in context.gossipers.items()
                 if name not in (context.sender, "z1-0")
             }
         )
 
 
 @then(
-    "each other running gateway has heard that work in the last {turns:d} turns"
+    "each other running gateway has received that work in the last {turns:d}"
+    " turns"
 )
-def heard_lately(context, turns):
-    teller = context.tellers[context.sender]
+def received_lately(context, turns):
+    gossiper = context.gossipers[context.sender]
     missed = 0
     for seen in context.seen:
         missed += any(known is None for known in seen.values())
     assert missed <= 1, missed
     for name, known in context.seen[-1].items():
         assert known is not None, name
-        assert teller.seq - known.mark[1] < turns, (name, known.mark)
+        assert gossiper.seq - known.mark[1] < turns, (name, known.mark)
 
 
-@then("a summary without the last field is taken and not passed on")
-def earlier_program(context):
+@then("a summary without the last field is applied and not forwarded")
+def earlier_version(context):
     zones_of(context, 2, 3)
     summary = workload.Summary(
         gateway="z0-0",
@@ -183,8 +185,8 @@
     )
     fields = msgspec.structs.astuple(gossip_lib.to_wire(summary))
     data = gossip_lib.ENCODER.encode(fields[:-1])
-    teller = context.tellers["z1-0"]
-    teller.datagram_received(data, ("127.0.0.1", 1))
-    assert 1 in teller.gateway.load.foreign["z0-0"].works
-    others = [context.tellers["z1-1"], context.tellers["z1-2"]]
+    gossiper = context.gossipers["z1-0"]
+    gossiper.datagram_received(data, ("127.0.0.1", 1))
+    assert 1 in gossiper.gateway.load.foreign["z0-0"].works
+    others = [context.gossipers["z1-1"], context.gossipers["z1-2"]]
     assert not any("z0-0" in t.gateway.load.foreign for t in others)
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -21,11 +21,11 @@
 from benchmarks import mixes
 from features.support import gatewaybed
 
-# Connections that fill a queue of length 0 and what the system adds to it.
+# Connections that fill an accept queue of length 0 and its extra slots.
 FILLERS = 4
 
 
-@given("an endpoint whose queue of new connections is full")
+@given("an endpoint whose accept queue is full")
 def full_queue(context):
     context.listener = socket.socket()
     context.listener.bind(("127.0.0.1", 0))
@@ -39,8 +39,8 @@
     time.sleep(0.1)
 
 
-@then("a connection to it is given up within {least:g} to {most:g} s")
-def given_up(context, least, most):
+@then("connecting to it times out within {least:g} to {most:g} s")
+def times_out(context, least, most):
     host, port = context.listener.getsockname()
     pool = upstream.EndpointPool(f"{host}:{port}")
     began = time.monotonic()
@@ -50,7 +50,7 @@
 
 
 class CountingEndpoint(gatewaybed.ScriptedEndpoint):
-    """Keeps connections for a second by its word, and counts them."""
+    """Announces a keep-alive timeout of 1 s, and counts connections."""
 
     connections = 0
 
@@ -60,7 +60,7 @@
         await super().serve(reader, writer)
 
     def answer(self, headers):
-        """Return a whole answer that promises to keep the connection."""
+        """Return a complete answer with a keep-alive timeout."""
         body = self.body(headers)
         return (
             self.head(
@@ -72,16 +72,16 @@
         )
 
 
-@given("an endpoint that keeps connections for 1 s")
+@given("an endpoint with a keep-alive timeout of 1 s")
 def keeps_connections(context):
     context.endpoint = CountingEndpoint("e1", ["answer"])
 
 
 @then(
-    "a request {soon:g} s later uses the kept one, and {late:g} s later a new"
-    " one"
+    "a request {soon:g} s later reuses the connection, and one {late:g} s later"
+    " opens a new one"
 )
-def uses_kept(context, soon, late):
+def reuses_connection(context, soon, late):
     endpoint = context.endpoint
 
     async def story():
@@ -101,7 +101,7 @@
     asyncio.run(story())
 
 
-@given("{count:d} endpoints that all say that they did not run a request")
+@given("{count:d} endpoints that all report that they did not run a request")
 def all_reject(context, count):
     context.count = count
 
@@ -137,7 +137,7 @@
     assert time.monotonic() - began < 0.2
 
 
-@given("a gateway with {count:d} pieces of work")
+@given("a gateway with {count:d} work items")
 def much_work(context, count):
     context.gateway = gatewaybed.Bed.without_sockets("g1")
     for _ in range(count):
@@ -146,23 +146,23 @@
         )
 
 
-@then("what it tells has {pieces:d} pieces and less than {most:d} bytes")
-def fits(context, pieces, most):
+@then("its summary has {items:d} work items and less than {most:d} bytes")
+def fits(context, items, most):
     sent = []
 
     class Socket:
-        """Keeps what is sent."""
+        """Records sent datagrams."""
 
         def is_closing(self):
             """Return that the socket is open."""
             return False
 
         def sendto(self, data, _address):
-            """Keep a datagram."""
+            """Record a datagram."""
             sent.append(data)
 
         def close(self):
-            """Close nothing."""
+            """Do nothing."""
 
     context.gateway.view.member_view.learn(
         (
@@ -176,16 +176,16 @@
         (),
         True,
     )
-    teller = gossip.Gossip(context.gateway)
-    teller.transport = Socket()
-    teller.send_summary(full=True)
+    gossiper = gossip.Gossip(context.gateway)
+    gossiper.transport = Socket()
+    gossiper.send_summary(full=True)
     (data,) = sent
-    assert len(gossip.decode(data).changes) == pieces
+    assert len(gossip.decode(data).changes) == items
     assert len(data) < most, len(data)
 
 
-@given("a leader that hears of a {who}")
-def leader_hears(context, who):
+@given("a leader that knows a {kind}")
+def leader_knows(context, kind):
     hub = hub_lib.Hub(epoch="e", state=state_lib.ControlState(), started_at=0.0)
     member = addresses.Member(entry="g1", incarnation=1, address="127.0.0.1:1")
     announcement = registry.Announcement(
@@ -204,7 +204,7 @@
     context.known = {
         "gateway": lambda: "g1" in hub.members,
         "endpoint": lambda: "e1" in hub.registry.registrations,
-    }[who]
+    }[kind]
 
 
 @then("it is known for {known:g} s and dropped after {dropped:g} s")
@@ -216,7 +216,7 @@
 
 
 @then("a prompt that leaves {left:d} tokens free is held by two engines")
-def shared(context, left):
+def is_split(context, left):
     spec = mixes.spec(8, 450_000, 46)
     prompt = spread.Prompt(
         prompt_tokens=spec.kv_tokens - left,
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -8,8 +8,8 @@
 UNRUN = (sends_lib.Outcome.NOT_RUN, sends_lib.Outcome.NO_MEMORY)
 
 
-@when("a {kind} request for {attempts:d} endpoints has come to {outcomes}")
-def come_to(context, kind, attempts, outcomes):
+@when("a {kind} request with {attempts:d} attempts had the outcomes {outcomes}")
+def had_outcomes(context, kind, attempts, outcomes):
     sends = sends_lib.Sends(attempts=attempts, idempotent=kind == "safe")
     for word in outcomes.split(", "):
         context.outcome = sends_lib.Outcome(word)
@@ -18,7 +18,7 @@
     context.sends = sends
 
 
-@then("it may go on: {on}")
-def may_go_on(context, on):
+@then("it may be sent again: {again}")
+def may_be_sent_again(context, again):
     reason = context.sends.stop_reason(context.outcome)
-    assert (reason == "") == (on == "yes"), reason
+    assert (reason == "") == (again == "yes"), reason
--- a/src/_coltsfootroad/gateway/gossip.py
+++ b/src/_coltsfootroad/gateway/gossip.py
@@ -30,7 +30,7 @@
 # two datagrams in three are saved. A call that is over by then is not told.
 COALESCE_LATER_S = 0.025
 # All work is sent this often, so that receivers can tell a quiet sender from
-# a dead one within `workload.BELIEF_S`.
+# a dead one within `workload.GATEWAY_TIMEOUT_S`.
 REFRESH_S = 0.8
 # Most changes of one datagram: 60 bytes each, 65,000 in all.
 MAX_CHANGES = 800
