--- a/features/core/bounds.feature
+++ b/features/core/bounds.feature
@@ -10,11 +10,11 @@
     Then it allows <most> retries and no more
 
     Examples:
-      | spent         | requests | most |
-      | is untouched  | 0        | 20   |
-      | is spent      | 0        | 0    |
-      | is spent      | 100      | 10   |
-      | is spent      | 10000    | 20   |
+      | spent        | requests | most |
+      | is untouched | 0        | 20   |
+      | is spent     | 0        | 0    |
+      | is spent     | 100      | 10   |
+      | is spent     | 10000    | 20   |
 
   Scenario Outline: Only a share of the endpoints is ejected at a time
     When all of <count> endpoints fail repeatedly
@@ -31,14 +31,14 @@
     Then the help names "<words>"
 
     Examples:
-      | program          | words          |
-      | colts-ctl        | config patch   |
-      | colts-ctl        | --base         |
+      | program          | words           |
+      | colts-ctl        | config patch    |
+      | colts-ctl        | --base          |
       | colts-gateway    | passes requests |
-      | colts-control    | bootstrap      |
-      | colts-entry      | --settings     |
-      | colts-standalone | --settings     |
-      | colts-replay     | --settings     |
+      | colts-control    | bootstrap       |
+      | colts-entry      | --settings      |
+      | colts-standalone | --settings      |
+      | colts-replay     | --settings      |
 
   Scenario: Connecting to an endpoint that accepts no connections times out
     Given an endpoint whose accept queue is full
--- a/features/core/lengths.feature
+++ b/features/core/lengths.feature
@@ -6,8 +6,8 @@
     And a prompt of <tokens> tokens is in band <band>
 
     Examples:
-      | short | long_count | long    | border | tokens  | band |
-      | 1500  | 0          | 1       | 2048   | 1500    | 0    |
-      | 1500  | 20         | 900000  | 2048   | 900000  | 3    |
-      | 6000  | 0          | 1       | 8192   | 6000    | 0    |
-      | 90000 | 0          | 1       | 16384  | 90000   | 1    |
+      | short | long_count | long   | border | tokens | band |
+      | 1500  | 0          | 1      | 2048   | 1500   | 0    |
+      | 1500  | 20         | 900000 | 2048   | 900000 | 3    |
+      | 6000  | 0          | 1      | 8192   | 6000   | 0    |
+      | 90000 | 0          | 1      | 16384  | 90000  | 1    |
--- a/features/core/retryhistories.feature
+++ b/features/core/retryhistories.feature
@@ -1,44 +1,44 @@
-Feature: The fleet's retry budget over restarts, losses and cuts of gateways
+Feature: The fleet's retry budget under restarts, losses and partitions of gateways
 
-  # Guards against retries beyond the fleet's budget: a restarted gateway held a whole
-  # share of the slack, and shares grew as members were lost, within one window.
-  Scenario Outline: No window holds more retries than the fleet may send where <history>
+  # Guards against retries beyond the fleet's budget: within one window, a restarted
+  # gateway got its full share of the slack again, and shares grew as members were lost.
+  Scenario Outline: No window exceeds the fleet's retry budget if <history>
     Given gateways whose endpoints all fail
     When <history> meanwhile
-    Then no window holds more retries than the fleet may send
+    Then no window exceeds the fleet's retry budget
 
     Examples:
-      | history                         |
-      | no gateway is lost              |
-      | all restart twice               |
-      | each restarts in turn           |
-      | five of nine are lost           |
-      | five of nine are cut off        |
-      | members become known one by one |
-      | four gateways become twelve     |
-      | all restart between two bursts  |
-      | callers move between two bursts |
-      | reserved retries leave late     |
-      | reserved retries lose their ground |
-      | one leader after another begins |
-      | nobody leads for 6 s            |
-      | loans are used at their end     |
-      | half of the loans are lost      |
-      | all restart while they borrow   |
+      | history                                 |
+      | no gateway is lost                      |
+      | all restart twice                       |
+      | each restarts in turn                   |
+      | five of nine are lost                   |
+      | five of nine are partitioned            |
+      | members become known one by one         |
+      | four gateways become twelve             |
+      | all restart between two bursts          |
+      | callers move between two bursts         |
+      | reserved retries are sent late          |
+      | reserved retries outlast their requests |
+      | the leader changes repeatedly           |
+      | there is no leader for 6 s              |
+      | loans are used at their expiry          |
+      | half of the loans are lost in transit   |
+      | all restart while they borrow           |
 
-  Scenario Outline: No window of drawn histories <first> to <last> holds too many retries
-    Then histories <first> to <last> keep to the fleet's retry budget
+  Scenario Outline: No window of random histories <first> to <last> exceeds the budget
+    Then random histories <first> to <last> stay within the fleet's retry budget
 
     Examples:
       | first | last |
       | 0     | 19   |
       | 20    | 39   |
 
-  # Guards against a budget that many gateways cannot use, as each one's part is
-  # less than one retry.
-  Scenario Outline: <count> gateways, <requests> requests each, <failing> of them see failures
-    When <failing> of <count> calm gateways with <requests> requests each begin to fail
-    Then within 1 s they send at least <least> retries and no more than the fleet may
+  # Guards against a budget that is unusable with many gateways, as the share of each
+  # is less than one retry.
+  Scenario Outline: <failing> of <count> gateways with <requests> requests each see failures
+    When <failing> of <count> gateways without failures and with <requests> requests each begin to see failures
+    Then within 1 s they send at least <least> retries and stay within the fleet's budget
 
     Examples:
       | count | requests | failing | least |
@@ -52,33 +52,33 @@
 
   Scenario Outline: A planted defect of the fleet's retry budget is caught: <defect>
     Given the defect "<defect>" in the fleet's retry budget
-    Then one of the histories breaks the bound
+    Then one of the histories exceeds the budget
 
     Examples:
       | defect                              |
-      | spends are forgotten by a restart   |
-      | share of the newest members         |
+      | a restart forgets sent retries      |
+      | the newest share is used            |
       | a share outlives its proof          |
       | a share lasts for half of the span  |
-      | each window earns the whole ratio   |
+      | a gateway uses the whole ratio      |
       | retries leave the window early      |
-      | reserved retries are sent whenever  |
+      | reserved retries are always sent    |
       | a new leader lends at once          |
-      | a loan counts for its own time only |
-      | loans never end                     |
-      | all of the slack is lent as well    |
+      | a loan counts only until its expiry |
+      | loans never expire                  |
+      | the whole slack is lent as well     |
 
-  Scenario Outline: A share of <shares> counts as <least>
+  Scenario Outline: The minimum of shares <shares> is <minimum>
     Given a gateway that held a share of <shares> at <times> s
-    Then its settled share at <now> s, over 10 s with proofs good for 4 s, is <least>
+    Then its minimum share at <now> s, over 10 s with proofs valid for 4 s, is <minimum>
 
     Examples:
-      | shares        | times      | now | least |
-      | 0.1           | 0          | 3   | 0     |
-      | 0.1 0.1 0.1 0.1 | 0 3 6 9  | 10  | 0.1   |
-      | 0.1 0.5 0.5   | 0 3 6      | 9   | 0     |
-      | 0.1 0.5 0.5 0.5 | 0 3 6 9  | 12  | 0.1   |
-      | 0.1 0.5 0.5 0.5 | 0 3 6 9  | 13  | 0.5   |
-      | 0.5 0.1 0.5 0.5 | 0 3 6 9  | 13  | 0.1   |
-      | 0.1 0.1 0.1 0.1 | 0 3 6 9  | 14  | 0     |
-      | 0.1 0.1 0.1   | 0 5 9      | 12  | 0     |
+      | shares          | times   | now | minimum |
+      | 0.1             | 0       | 3   | 0       |
+      | 0.1 0.1 0.1 0.1 | 0 3 6 9 | 10  | 0.1     |
+      | 0.1 0.5 0.5     | 0 3 6   | 9   | 0       |
+      | 0.1 0.5 0.5 0.5 | 0 3 6 9 | 12  | 0.1     |
+      | 0.1 0.5 0.5 0.5 | 0 3 6 9 | 13  | 0.5     |
+      | 0.5 0.1 0.5 0.5 | 0 3 6 9 | 13  | 0.1     |
+      | 0.1 0.1 0.1 0.1 | 0 3 6 9 | 14  | 0       |
+      | 0.1 0.1 0.1     | 0 5 9   | 12  | 0       |
--- a/features/steps/retryhistories_steps.py
+++ b/features/steps/retryhistories_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the retry budget of a whole fleet, in virtual time."""
+"""Steps on the retry budget of a fleet, in virtual time."""
 
 from behave import given
 from behave import then
@@ -20,18 +20,20 @@
     context.world = retryhistories.DIRECTED[history]()
 
 
-@then("no window holds more retries than the fleet may send")
-def bound(context):
+@then("no window exceeds the fleet's retry budget")
+def is_within_budget(context):
     context.world.fleet.check()
 
 
-@then("histories {first:d} to {last:d} keep to the fleet's retry budget")
-def drawn(context, first, last):
+@then(
+    "random histories {first:d} to {last:d} stay within the fleet's retry budget"
+)
+def random_histories(context, first, last):
     for seed in range(first, last + 1):
         try:
-            retryhistories.drawn(seed).fleet.check()
-        except AssertionError as broken:
-            raise AssertionError(f"history {seed}: {broken}") from broken
+            retryhistories.random_history(seed).fleet.check()
+        except AssertionError as error:
+            raise AssertionError(f"history {seed}: {error}") from error
 
 
 @given('the defect "{label}" in the fleet\'s retry budget')
@@ -39,8 +41,8 @@
     context.label = label
 
 
-def breaks(history) -> bool:
-    """Return whether a history breaks the bound."""
+def exceeds_budget(history) -> bool:
+    """Return whether a history exceeds the fleet's retry budget."""
     try:
         history().fleet.check()
     except AssertionError:
@@ -48,10 +50,10 @@
     return False
 
 
-@then("one of the histories breaks the bound")
-def caught(context):
+@then("one of the histories exceeds the budget")
+def is_caught(context):
     with mutants.planted(retrydefects.DEFECTS, context.label):
-        assert any(map(breaks, retryhistories.DIRECTED.values()))
+        assert any(map(exceeds_budget, retryhistories.DIRECTED.values()))
 
 
 @given("a gateway that held a share of {shares} at {times} s")
@@ -62,28 +64,28 @@
 
 
 @then(
-    "its settled share at {now:g} s, over 10 s with proofs good for 4 s, is"
-    " {least:g}"
+    "its minimum share at {now:g} s, over 10 s with proofs valid for 4 s, is"
+    " {minimum:g}"
 )
-def settled(context, now, least):
+def minimum_share(context, now, minimum):
     found = context.share.minimum(now)
-    assert found == least, found
+    assert found == minimum, found
 
 
 @when(
-    "{failing:d} of {count:d} calm gateways with {requests:d} requests each"
-    " begin to fail"
+    "{failing:d} of {count:d} gateways without failures and with {requests:d}"
+    " requests each begin to see failures"
 )
-def begin_to_fail(context, failing, count, requests):
-    context.calm, context.sent = retryhistories.use_after_calm(
+def begin_to_see_failures(context, failing, count, requests):
+    context.budget_fleet, context.sent = retryhistories.retries_of_full_budget(
         count, requests, failing
     )
 
 
 @then(
-    "within 1 s they send at least {least:d} retries and no more than the"
-    " fleet may"
+    "within 1 s they send at least {least:d} retries and stay within the"
+    " fleet's budget"
 )
-def use(context, least):
-    context.calm.check()
+def use_budget(context, least):
+    context.budget_fleet.check()
     assert context.sent >= least, context.sent
--- a/features/support/requestmachine.py
+++ b/features/support/requestmachine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the request path against a simple oracle."""
+"""Stateful fuzzing of the request path, checked by an oracle."""
 
 import json
 import random
@@ -54,7 +54,7 @@
 LOSS = 0.3
 DUPLICATION = 0.5
 DELAY_S = 0.4
-# Long enough to be killed in the middle.
+# Long enough that a plain endpoint can be killed while it runs a request.
 PLAIN_S = 0.4
 FAULTS = (
     "kill_endpoint",
@@ -82,7 +82,7 @@
 
 @attrs.frozen
 class Place:
-    """Where a fault strikes."""
+    """Target and parameters of a fault."""
 
     endpoint: str
     engine: str
@@ -103,7 +103,7 @@
 
 @attrs.define
 class Oracle:
-    """What must hold, judged from outside."""
+    """Checks invariants of the fleet from outside."""
 
     world: world_lib.World
     accepted: list[tuple[float, int]] = attrs.Factory(list)
@@ -114,7 +114,7 @@
     checked_dispatches: int = 0
 
     def check(self) -> None:
-        """Check all that must hold at any moment."""
+        """Check the invariants that hold at any time."""
         for record in self.world.callers.records.values():
             self.check_record(record)
         for entry in self.world.entries.by_name.values():
@@ -126,10 +126,10 @@
         most = len(ENTRIES) * (
             MAX_HEARTBEATS_PER_S * self.world.network.now + 20
         )
-        assert self.world.entries.heartbeats <= most, "storm of heartbeats"
+        assert self.world.entries.heartbeats <= most, "too many heartbeats"
 
     def check_record(self, record) -> None:
-        """Check one request: one end, whole, true, at most once."""
+        """Check that a request ends once, runs at most once and is complete."""
         request = record.request
         runs = self.world.endpoints.runs
         assert record.ends <= 1, f"{request.request_id} ended twice"
@@ -141,20 +141,20 @@
         if failure is not None and failure.ran is errors.Ran.NO:
             assert not runs.get(request.request_id), f"it ran: {failure}"
         if record.finished:
-            self.check_whole(record)
+            self.check_answer(record)
 
-    def check_whole(self, record) -> None:
-        """Check that an answer is whole and the caller's own."""
+    def check_answer(self, record) -> None:
+        """Check that an answer is complete and belongs to the request."""
         request = record.request
         if request.kind is servicekind.ServiceKind.PLAIN:
-            wanted = f"done {request.body_hash}".encode()
-            assert record.answer.body == wanted, record.answer
+            expected = f"done {request.body_hash}".encode()
+            assert record.answer.body == expected, record.answer
             return
         data = b"".join(record.data)
         assert data == engine_lib.whole_text(request.output_tokens), data
 
     def check_version(self, entry) -> None:
-        """Check that versions never revert and are young in force."""
+        """Check that versions never revert and are not stale."""
         fresh = entry.core.freshness
         now = self.world.network.now
         last = self.versions.get(entry.name, -1)
@@ -165,7 +165,7 @@
             assert fresh.version >= max(due, default=0), "stale in force"
 
     def check_shares(self) -> None:
-        """Check that leased shares never exceed the fleet's limit."""
+        """Check that leased shares do not exceed the fleet's limit."""
         tokens = concurrency = 0.0
         now = self.world.network.now
         for entry in self.world.entries.by_name.values():
@@ -179,7 +179,7 @@
         assert concurrency <= CONCURRENCY, f"shares sum to {concurrency}"
 
     def check_leaving(self) -> None:
-        """Check that leaving endpoints get no new work after seconds."""
+        """Check that leaving endpoints get no new work after `LEAVE_S`."""
         dispatches = self.world.endpoints.dispatches
         for at, entry, endpoint in dispatches[self.checked_dispatches :]:
             left = self.left_at.get(endpoint)
@@ -188,7 +188,7 @@
         self.checked_dispatches = len(dispatches)
 
     def check_settled(self) -> None:
-        """Check, once all is healed, that everything ended and is free."""
+        """Check after all repairs that requests ended and memory is free."""
         for record in self.world.callers.records.values():
             self.check_bounded(record)
         assert not self.world.entries.flights(), self.world.entries.flights()
@@ -200,9 +200,9 @@
         assert not held and not self.world.endpoints.kv_held(), held
         assert (
             not self.world.control.hub.groups.holds
-        ), "groups still hold engines"
+        ), "groups still reserve engines"
         for entry in self.world.entries.by_name.values():
-            assert not entry.core.releaser.pending, "cancels never ended"
+            assert not entry.core.releaser.pending, "cancels unconfirmed"
             for pool in entry.core.pools.values():
                 for view in pool.views.values():
                     assert not view.work, f"memory of {view.name} leaked"
@@ -210,20 +210,20 @@
                 assert not meter.in_flight and not meter.waiting, meter
 
     def check_bounded(self, record) -> None:
-        """Check that a request ended within its bound."""
+        """Check that a request ended by its deadline."""
         if record.cut_off:
             return
         assert record.ends == 1, f"{record.request.request_id} never ended"
         late = record.ended_at - record.request.deadline_at
-        assert late <= SLACK_S or record.entry in self.frozen, "too late"
+        assert late <= SLACK_S or record.entry in self.frozen, "past deadline"
 
 
 class RequestMachine(stateful.RuleBasedStateMachine):
-    """Drives a small fleet through requests and faults."""
+    """Drives a small fleet with random requests and faults."""
 
     @stateful.initialize(seed=st.integers(0, 2**16))
     def build(self, seed):
-        """Build the fleet and let it settle."""
+        """Build the fleet and run it until leases are granted."""
         self.world = world_lib.build(
             random.Random(seed), report_every_s=0.5, plain_s=PLAIN_S
         )
@@ -240,12 +240,12 @@
             self.world.endpoints.add_engine(name, "assistant", speed)
         for name in PLAIN:
             self.world.endpoints.add_plain(name, "billing")
-        # Past the time in which a new leader only keeps old shares.
+        # A new leader grants no shares before this time.
         self.world.network.run_until(7.0)
         self.world.network.after_event = self.oracle.check
 
     def patch(self, document):
-        """Patch the configuration; remember when it was accepted."""
+        """Patch the configuration and record when it was accepted."""
         store = self.world.control.state.configs
         self.patch_at += 1
         answer = self.world.control.patch(
@@ -274,7 +274,7 @@
         blocks=st.sampled_from((0, 4)),
     )
     def ask(self, entry, prompt, output, seconds, blocks):
-        """Ask an engine."""
+        """Submit a prompt to an engine service."""
         self.submit(
             entry,
             service="assistant",
@@ -291,7 +291,7 @@
         seconds=st.sampled_from((1.0, 5.0)),
     )
     def charge(self, entry, key, body, seconds):
-        """Make a call that must not run twice."""
+        """Submit a non-idempotent request."""
         self.submit(
             entry,
             service="billing",
@@ -307,7 +307,7 @@
 
     @stateful.rule(number=st.integers(1, 40), name=st.sampled_from(ENTRIES))
     def hang_up(self, number, name):
-        """Let a caller go away."""
+        """Disconnect a caller."""
         entry = self.world.entries.by_name[name]
         record = self.world.callers.records.get(f"r{number}")
         if record is not None and record.entry == name:
@@ -318,17 +318,17 @@
 
     @stateful.rule(seconds=st.sampled_from((0.01, 0.06, 0.3, 1.0, 4.0)))
     def wait(self, seconds):
-        """Let time pass."""
+        """Advance the time."""
         self.world.network.run_until(self.world.network.now + seconds)
 
     @stateful.rule(kind=st.sampled_from(FAULTS), place=PLACES)
     def fault(self, kind, place):
-        """Let something fail."""
+        """Inject a fault."""
         getattr(self, kind)(place)
 
     @stateful.rule(kind=st.sampled_from(MENDS), place=PLACES)
     def mend(self, kind, place):
-        """Mend something."""
+        """Undo faults of one kind."""
         getattr(self, kind)(place)
 
     def kill_endpoint(self, place):
@@ -343,7 +343,7 @@
                 self.oracle.left_at.pop(name, None)
 
     def leave(self, place):
-        """Let an endpoint say that it leaves; one of each kind stays."""
+        """Announce that an endpoint leaves; one of each kind stays."""
         name = place.endpoint
         may_leave = name in (ENGINES[0], PLAIN[0])
         if may_leave and self.world.endpoints.by_name[name].alive:
@@ -351,11 +351,11 @@
             self.oracle.left_at.setdefault(name, self.world.network.now)
 
     def slow(self, place):
-        """Make an engine slow."""
+        """Slow an engine down."""
         self.world.endpoints.slow(place.engine, SLOW_FACTOR)
 
     def speed_up(self, _):
-        """Make all engines fast again."""
+        """Restore the speed of all engines."""
         for name in ENGINES:
             self.world.endpoints.slow(name, 1.0)
 
@@ -375,56 +375,56 @@
         self.world.entries.freeze(place.entry, place.seconds)
 
     def drain(self, place):
-        """Shut an entry down."""
+        """Drain an entry."""
         if self.world.entries.by_name[place.entry].alive:
             self.world.entries.drain(place.entry)
 
     def cut_control(self, place):
-        """Cut an entry off from the control state, one way or both."""
+        """Partition an entry from the control plane, one way or both."""
         self.world.network.cut("control", place.entry, place.flag)
 
     def cut_endpoint(self, place):
-        """Cut an entry off from an endpoint, one way or both."""
-        # What the endpoint says from now on may not reach the entry.
+        """Partition an entry from an endpoint, one way or both."""
+        # Later announcements of the endpoint may not reach the entry.
         self.oracle.uninformed.add(place.entry)
         self.world.network.cut(place.entry, place.endpoint, place.flag)
 
     def lose_messages(self, _):
-        """Lose a part of all messages."""
+        """Drop a share of all messages."""
         self.oracle.uninformed.update(ENTRIES)
         self.world.network.loss = LOSS
 
     def repeat_messages(self, _):
-        """Deliver a part of all messages twice."""
+        """Deliver a share of all messages twice."""
         self.world.network.duplication = DUPLICATION
 
     def delay_messages(self, _):
-        """Deliver messages late and out of order."""
+        """Delay messages and deliver them out of order."""
         self.oracle.uninformed.update(ENTRIES)
         self.world.network.extra_delay_s = DELAY_S
 
     def heal(self, _):
-        """End all cuts and make the network good again."""
+        """End all partitions, losses, duplications and delays."""
         self.world.network.heal()
         self.world.network.loss = self.world.network.duplication = 0.0
         self.world.network.extra_delay_s = 0.0
 
     def stop_control(self, _):
-        """Stop the control state."""
+        """Stop the control plane."""
         self.world.control.stop()
 
     def start_control(self, _):
-        """Start the control state."""
+        """Start the control plane."""
         self.world.control.start()
 
     @stateful.rule(size=st.integers(1, 9_999))
     def change(self, size):
-        """Let an operator change the configuration."""
+        """Change the configuration."""
         if self.world.control.is_up:
             self.patch({"services": {"assistant": {"max_queue": size}}})
 
     def lie(self, place):
-        """Let an engine report nonsense once."""
+        """Send one load report with wrong values."""
         endpoint = self.world.endpoints.by_name[place.engine]
         victim = self.world.entries.by_name[place.entry]
         if not endpoint.alive or not victim.alive:
@@ -441,7 +441,7 @@
         self.world.entries.run_core(victim, victim.core.on_load, report)
 
     def teardown(self):
-        """Heal everything, wait, and check that nothing is left over."""
+        """Undo all faults, wait, and check that no state is left over."""
         if not hasattr(self, "world"):
             return
         world = self.world
@@ -454,7 +454,7 @@
 
 
 def settings(examples: int, steps: int) -> hypothesis.settings:
-    """Return settings that give the same run every time."""
+    """Return settings for reproducible runs."""
     return hypothesis.settings(
         max_examples=examples,
         stateful_step_count=steps,
@@ -468,7 +468,7 @@
 
 
 def run(machine: type, examples: int, steps: int = 30) -> None:
-    """Run a machine; raises on the first thing that does not hold."""
+    """Run a machine; raises on the first violated invariant."""
     stateful.run_state_machine_as_test(
         machine, settings=settings(examples, steps)
     )
--- a/features/support/retrydefects.py
+++ b/features/support/retrydefects.py
@@ -1,4 +1,4 @@
-"""Deliberate defects of the fleet's retry budget; histories must catch each."""
+"""Deliberate defects of the fleet's retry budget, each caught by a history."""
 
 from _coltsfootroad.control import retrylending
 from _coltsfootroad.core import minimumshare
@@ -11,10 +11,10 @@
 
 
 @mutants.defect(DEFECTS, Share, "update")
-def spends_are_forgotten_by_a_restart(right):
+def a_restart_forgets_sent_retries(original):
     def wrong(self, share, now, proved_at):
         is_first = self.proved_at == float("-inf")
-        right(self, share, now, proved_at)
+        original(self, share, now, proved_at)
         if is_first:
             self.held.popleft()
 
@@ -22,48 +22,48 @@
 
 
 @mutants.defect(DEFECTS, Share, "minimum")
-def share_of_the_newest_members(right):
+def the_newest_share_is_used(original):
     def wrong(self, now):
-        right(self, now)
+        original(self, now)
         return self.held[-1].share
 
     return wrong
 
 
 @mutants.defect(DEFECTS, Share, "update")
-def a_share_outlives_its_proof(right):
+def a_share_outlives_its_proof(original):
     def wrong(self, share, now, proved_at):
         self.proved_at = now
-        right(self, share, now, proved_at)
+        original(self, share, now, proved_at)
 
     return wrong
 
 
 @mutants.defect(DEFECTS, Share, "replace")
-def a_share_lasts_for_half_of_the_span(right):
+def a_share_lasts_for_half_of_the_span(original):
     def wrong(self, share, at):
-        right(self, share, at - self.span_s / 2)
+        original(self, share, at - self.span_s / 2)
 
     return wrong
 
 
 @mutants.defect(DEFECTS, windowbudget, "GATEWAY_RATIO_SHARE")
-def each_window_earns_the_whole_ratio(right):
-    return 2 * right
+def a_gateway_uses_the_whole_ratio(original):
+    return 2 * original
 
 
 @mutants.defect(DEFECTS, windowbudget.WindowBudget, "trim")
-def retries_leave_the_window_early(right):
+def retries_leave_the_window_early(original):
     def wrong(self, now):
-        right(self, now + self.window_s / 2)
+        original(self, now + self.window_s / 2)
 
     return wrong
 
 
 @mutants.defect(DEFECTS, windowbudget.WindowBudget, "charge")
-def reserved_retries_are_sent_whenever(right):
+def reserved_retries_are_always_sent(original):
     def wrong(self, retry, slack_share, now):
-        return right(self, retry, slack_share, now) or True
+        return original(self, retry, slack_share, now) or True
 
     return wrong
 
@@ -72,31 +72,31 @@
 
 
 @mutants.defect(DEFECTS, Lender, "lend")
-def a_new_leader_lends_at_once(right):
+def a_new_leader_lends_at_once(original):
     def wrong(self, request, now):
         self.started_at = float("-inf")
-        return right(self, request, now)
+        return original(self, request, now)
 
     return wrong
 
 
 @mutants.defect(DEFECTS, retrylending, "hold_time_s")
-def a_loan_counts_for_its_own_time_only(right):
+def a_loan_counts_only_until_its_expiry(original):
     def wrong(window_s):
-        return right(window_s) - window_s
+        return original(window_s) - window_s
 
     return wrong
 
 
 @mutants.defect(DEFECTS, retryloans.RetryLoans, "add")
-def loans_never_end(right):
+def loans_never_expire(original):
     def wrong(self, amount, until):
-        right(self, amount, until + 60.0)
+        original(self, amount, until + 60.0)
 
     return wrong
 
 
 @mutants.defect(DEFECTS, retrylending, "LOAN_PART")
-def all_of_the_slack_is_lent_as_well(right):
-    del right
+def the_whole_slack_is_lent_as_well(original):
+    del original
     return 1.0
--- a/features/support/retryhistories.py
+++ b/features/support/retryhistories.py
@@ -1,4 +1,4 @@
-"""What happens to a fleet whose endpoints fail, for its retry budget."""
+"""Histories of a fleet with failing endpoints, which use its retry budget."""
 
 import collections
 import random
@@ -8,250 +8,250 @@
 from features.support import retryworld
 
 COUNT = 9
-SETTLED_S = 30.0
-# Each gateway spends all that it holds several times a second.
-GREEDY = 8.0
+WARM_UP_S = 30.0
+# How often per second each gateway uses up its retry budget.
+EXHAUSTING_RATE = 8.0
 
 
-def settled(count: int = COUNT) -> retryworld.World:
-    """Return a fleet that has run for a while without a failure."""
+def warm_fleet(count: int = COUNT) -> retryworld.World:
+    """Return a fleet that has run for a while without failures."""
     world = retryworld.World(count)
-    world.run(SETTLED_S, retry_rate=0.0)
+    world.run(WARM_UP_S, retry_rate=0.0)
     return world
 
 
-def nothing() -> retryworld.World:
-    """Let only the endpoints fail."""
-    world = settled()
-    world.run(25.0, GREEDY)
+def no_gateway_faults() -> retryworld.World:
+    """Let only endpoints fail."""
+    world = warm_fleet()
+    world.run(25.0, EXHAUSTING_RATE)
     return world
 
 
 def all_restart_twice() -> retryworld.World:
-    """Kill all gateways, and again four seconds later."""
-    world = settled()
+    """Kill all gateways twice, four seconds apart."""
+    world = warm_fleet()
     for _ in range(2):
-        world.run(2.0, GREEDY)
+        world.run(2.0, EXHAUSTING_RATE)
         world.kill(list(world.gateways), 0.5)
-        world.run(2.0, GREEDY)
-    world.run(20.0, GREEDY)
+        world.run(2.0, EXHAUSTING_RATE)
+    world.run(20.0, EXHAUSTING_RATE)
     return world
 
 
 def each_restarts_in_turn() -> retryworld.World:
-    """Restart one gateway after the other, as a rolling release does."""
-    world = settled()
-    world.run(0.5, GREEDY)
+    """Restart one gateway after the other, as in a rolling update."""
+    world = warm_fleet()
+    world.run(0.5, EXHAUSTING_RATE)
     for name in world.gateways:
         world.kill([name], 0.3)
-        world.run(0.5, GREEDY)
-    world.run(20.0, GREEDY)
+        world.run(0.5, EXHAUSTING_RATE)
+    world.run(20.0, EXHAUSTING_RATE)
     return world
 
 
 def five_are_lost() -> retryworld.World:
-    """Lose five of nine gateways, which the others see."""
-    world = settled()
-    world.run(1.0, GREEDY)
+    """Lose five of nine gateways, which the others detect."""
+    world = warm_fleet()
+    world.run(1.0, EXHAUSTING_RATE)
     world.kill(list(world.gateways)[:5], 60.0)
-    world.run(30.0, GREEDY)
+    world.run(30.0, EXHAUSTING_RATE)
     return world
 
 
-def five_are_cut_off() -> retryworld.World:
-    """Cut five of nine gateways off; they send until their proof is old."""
-    world = settled()
-    world.run(1.0, GREEDY)
-    world.cut_off(list(world.gateways)[:5], 20.0)
-    world.run(40.0, GREEDY)
+def five_are_partitioned() -> retryworld.World:
+    """Partition five of nine gateways, which send until their proof expires."""
+    world = warm_fleet()
+    world.run(1.0, EXHAUSTING_RATE)
+    world.partition(list(world.gateways)[:5], 20.0)
+    world.run(40.0, EXHAUSTING_RATE)
     return world
 
 
-def members_fill_one_by_one() -> retryworld.World:
-    """Start all gateways cold; control hears of one after the other."""
+def members_join_one_by_one() -> retryworld.World:
+    """Cold restart all gateways; control detects one after the other."""
     world = retryworld.World(COUNT)
-    world.never_seen(list(world.gateways))
+    world.hide(list(world.gateways))
     for number, gateway in enumerate(world.gateways.values()):
         gateway.until = world.now + 0.1 * number
-    world.run(30.0, GREEDY)
+    world.run(30.0, EXHAUSTING_RATE)
     return world
 
 
 def fleet_grows() -> retryworld.World:
-    """Let four gateways become twelve."""
+    """Grow the fleet from four gateways to twelve."""
     world = retryworld.World(12)
     later = list(world.gateways)[4:]
-    world.never_seen(later)
+    world.hide(later)
     for name in later:
-        world.gateways[name].until = world.now + SETTLED_S + 1.0
-    world.run(SETTLED_S, retry_rate=0.0)
-    world.run(30.0, GREEDY)
+        world.gateways[name].until = world.now + WARM_UP_S + 1.0
+    world.run(WARM_UP_S, retry_rate=0.0)
+    world.run(30.0, EXHAUSTING_RATE)
     return world
 
 
 def restart_between_bursts() -> retryworld.World:
     """Let endpoints fail at both ends of a window, with a restart between."""
-    world = settled()
+    world = warm_fleet()
     world.run(10.0, retry_rate=0.0, rate=40.0)
-    world.run(0.3, 2 * GREEDY, rate=40.0)
+    world.run(0.3, 2 * EXHAUSTING_RATE, rate=40.0)
     world.kill(list(world.gateways), 0.1)
     world.run(9.0, retry_rate=0.0, rate=40.0)
-    world.run(0.6, 2 * GREEDY, rate=40.0)
+    world.run(0.6, 2 * EXHAUSTING_RATE, rate=40.0)
     return world
 
 
 def requests_move() -> retryworld.World:
-    """Let callers move to other gateways, with a burst of failures at both."""
-    world = settled()
+    """Move callers to other gateways, with a burst of failures at both."""
+    world = warm_fleet()
     names = list(world.gateways)
     world.serving = set(names[:4])
     world.run(10.0, retry_rate=0.0, rate=80.0)
-    world.run(0.3, 2 * GREEDY, rate=80.0)
+    world.run(0.3, 2 * EXHAUSTING_RATE, rate=80.0)
     world.serving = set(names[4:])
     world.run(9.0, retry_rate=0.0, rate=80.0)
-    world.run(0.6, 2 * GREEDY, rate=80.0)
+    world.run(0.6, 2 * EXHAUSTING_RATE, rate=80.0)
     return world
 
 
-def reserved_ones_leave_late() -> retryworld.World:
-    """Hold retries for sends that wait for twelve seconds, beside others."""
-    world = settled()
+def reserved_are_sent_late() -> retryworld.World:
+    """Send reserved retries after twelve seconds, along with others."""
+    world = warm_fleet()
     world.reserve_all()
     world.run(12.0, retry_rate=0.0)
     world.send_reserved()
-    world.run(12.0, GREEDY)
+    world.run(12.0, EXHAUSTING_RATE)
     return world
 
 
-def reserved_ones_lose_their_ground() -> retryworld.World:
-    """Hold retries for which the requests that earned them grow too old."""
-    world = settled()
+def reserved_outlast_requests() -> retryworld.World:
+    """Reserve retries until the requests that earned them leave the window."""
+    world = warm_fleet()
     world.run(10.0, retry_rate=0.0, rate=20.0)
     for _ in range(3):
         world.reserve_all()
         world.run(4.0, retry_rate=0.0, rate=20.0)
     world.run(12.0, retry_rate=0.0)
     world.send_reserved()
-    world.run(12.0, GREEDY)
+    world.run(12.0, EXHAUSTING_RATE)
     return world
 
 
 def leaders_change() -> retryworld.World:
-    """Let one leader after another begin while gateways borrow."""
-    world = settled()
+    """Change the leader repeatedly while gateways borrow."""
+    world = warm_fleet()
     for seconds in (1.0, 4.0, 11.0, 3.0):
-        world.run(seconds, GREEDY)
-        world.lead()
-    world.run(40.0, GREEDY)
+        world.run(seconds, EXHAUSTING_RATE)
+        world.elect_leader()
+    world.run(40.0, EXHAUSTING_RATE)
     return world
 
 
-def nobody_leads() -> retryworld.World:
-    """Let nobody lead for a while, and another leader begin then."""
-    world = settled()
-    world.run(1.0, GREEDY)
+def no_leader() -> retryworld.World:
+    """Leave the fleet without a leader for a while, then elect one."""
+    world = warm_fleet()
+    world.run(1.0, EXHAUSTING_RATE)
     world.fleet.lender = None
-    world.run(6.0, GREEDY)
-    world.lead()
-    world.run(40.0, GREEDY)
+    world.run(6.0, EXHAUSTING_RATE)
+    world.elect_leader()
+    world.run(40.0, EXHAUSTING_RATE)
     return world
 
 
-def loans_leave_at_their_end() -> retryworld.World:
-    """Hold lent retries until their loans end, beside those of the next."""
-    world = settled()
+def loans_used_at_expiry() -> retryworld.World:
+    """Send lent retries right before expiry, along with those of new loans."""
+    world = warm_fleet()
     for wait_s in (0.0, 3.9, 8.0, 0.5, 3.9):
         world.reserve_all()
         world.run(wait_s, retry_rate=0.0)
         world.send_reserved()
-        world.run(2.0, GREEDY)
-    world.run(20.0, GREEDY)
+        world.run(2.0, EXHAUSTING_RATE)
+    world.run(20.0, EXHAUSTING_RATE)
     return world
 
 
 def answers_are_lost() -> retryworld.World:
-    """Lose half of the leader's answers."""
-    world = settled()
+    """Lose half of the leader's answers in transit."""
+    world = warm_fleet()
     world.fleet.lost_answers = 0.5
-    world.run(40.0, GREEDY)
+    world.run(40.0, EXHAUSTING_RATE)
     return world
 
 
 def all_restart_while_they_borrow() -> retryworld.World:
-    """Restart all gateways every few seconds, beside one leader."""
-    world = settled()
+    """Restart all gateways every few seconds, under one leader."""
+    world = warm_fleet()
     for _ in range(6):
-        world.run(2.5, GREEDY)
+        world.run(2.5, EXHAUSTING_RATE)
         world.kill(list(world.gateways), 0.2)
-    world.run(20.0, GREEDY)
+    world.run(20.0, EXHAUSTING_RATE)
     return world
 
 
 DIRECTED = {
-    "no gateway is lost": nothing,
+    "no gateway is lost": no_gateway_faults,
     "all restart twice": all_restart_twice,
     "each restarts in turn": each_restarts_in_turn,
     "five of nine are lost": five_are_lost,
-    "five of nine are cut off": five_are_cut_off,
-    "members become known one by one": members_fill_one_by_one,
+    "five of nine are partitioned": five_are_partitioned,
+    "members become known one by one": members_join_one_by_one,
     "four gateways become twelve": fleet_grows,
     "all restart between two bursts": restart_between_bursts,
     "callers move between two bursts": requests_move,
-    "reserved retries leave late": reserved_ones_leave_late,
-    "reserved retries lose their ground": reserved_ones_lose_their_ground,
-    "one leader after another begins": leaders_change,
-    "nobody leads for 6 s": nobody_leads,
-    "loans are used at their end": loans_leave_at_their_end,
-    "half of the loans are lost": answers_are_lost,
+    "reserved retries are sent late": reserved_are_sent_late,
+    "reserved retries outlast their requests": reserved_outlast_requests,
+    "the leader changes repeatedly": leaders_change,
+    "there is no leader for 6 s": no_leader,
+    "loans are used at their expiry": loans_used_at_expiry,
+    "half of the loans are lost in transit": answers_are_lost,
     "all restart while they borrow": all_restart_while_they_borrow,
 }
 
 
-def drawn(seed: int) -> retryworld.World:
-    """Return what a history with faults drawn from a seed led to."""
+def random_history(seed: int) -> retryworld.World:
+    """Return the fleet after a history with random faults."""
     rng = random.Random(seed)
     world = retryworld.World(rng.choice((1, 3, 9, 24)), rng)
-    world.run(rng.choice((0.0, SETTLED_S)), 0.0, rng.uniform(0.0, 8.0))
+    world.run(rng.choice((0.0, WARM_UP_S)), 0.0, rng.uniform(0.0, 8.0))
     for _ in range(rng.randint(3, 9)):
         names = list(world.gateways)
-        some = rng.sample(names, rng.randint(1, len(names)))
+        affected = rng.sample(names, rng.randint(1, len(names)))
         if rng.random() < 0.6:
-            world.kill(some, rng.uniform(0.1, 4.0))
+            world.kill(affected, rng.uniform(0.1, 4.0))
         else:
-            world.cut_off(some, rng.uniform(0.5, 12.0))
+            world.partition(affected, rng.uniform(0.5, 12.0))
         if rng.random() < 0.3:
             world.reserve_all()
         if rng.random() < 0.3:
-            world.lead()
+            world.elect_leader()
         world.fleet.lost_answers = rng.choice((0.0, 0.3))
         world.run(
             rng.uniform(0.2, 6.0),
-            rng.choice((0.0, 1.0, GREEDY)),
+            rng.choice((0.0, 1.0, EXHAUSTING_RATE)),
             rng.choice((0.0, 1.0, 8.0, 40.0)),
         )
         world.send_reserved()
-    world.run(5.0, GREEDY)
+    world.run(5.0, EXHAUSTING_RATE)
     return world
 
 
-def use_after_calm(
+def retries_of_full_budget(
     count: int, requests: int, failing: int
 ) -> tuple[retryworld.Fleet, int]:
-    """Return what a calm fleet retries within a second once endpoints fail.
+    """Return a fleet and its retries in the first second of failures.
 
-    `failing` of its `count` gateways see failures; each has taken as many
-    `requests` within the window.
+    `failing` of its `count` gateways see failures. Each gateway has received
+    `requests` within the window, and has used no retry before.
     """
     rng = random.Random(count)
     fleet = retryworld.Fleet(rng)
-    fleet.lender = retrylending.RetryLender(fleet.now - SETTLED_S)
+    fleet.lender = retrylending.RetryLender(fleet.now - WARM_UP_S)
     gateways = [
         retryworld.Gateway(f"g{number}", fleet) for number in range(count)
     ]
     for gateway in gateways:
         gateway.seen_at = fleet.now
         gateway.slack_share = minimumshare.MinimumShare(
-            1.0, 100.0, fleet.now, collections.deque([held(count)])
+            1.0, 100.0, fleet.now, collections.deque([equal_share(count)])
         )
         for _ in range(requests):
             gateway.serve()
@@ -259,9 +259,9 @@
         fleet.now += 0.05
         for gateway in rng.sample(gateways[:failing], failing):
             gateway.retry(1)
-    return fleet, len(fleet.again)
+    return fleet, len(fleet.retries)
 
 
-def held(count: int) -> minimumshare.ShareInterval:
-    """Return the share of one of some gateways."""
+def equal_share(count: int) -> minimumshare.ShareInterval:
+    """Return the share of one of `count` gateways."""
     return minimumshare.ShareInterval(1.0 / count)
--- a/features/support/retryworld.py
+++ b/features/support/retryworld.py
@@ -1,6 +1,6 @@
 """A fleet of gateways that retry as much as their budgets allow.
 
-Virtual time; `check` applies the fleet's bound to what was sent.
+It runs in virtual time; `check` compares sent retries with the fleet's budget.
 """
 
 import bisect
@@ -19,21 +19,21 @@
 RATIO = 0.2
 SLACK = 106
 WINDOW_S = 10.0
-# Age of its proof past which a gateway sends nothing.
+# Age of its proof past which a gateway sends no requests.
 STALENESS_S = 4.5
-# After this time the others see that a gateway is lost.
+# Time after which a lost gateway is detected.
 LOST_AFTER_S = 1.6
 STEP_S = 0.05
 
 
 @attrs.define
 class Fleet:
-    """What all gateways sent for one service, and when.
+    """Requests and retries of all gateways for one service.
 
     Attributes:
-        requests: When callers sent requests, in order.
-        again: When endpoints were reached beyond a request's first time.
-        lender: The leader's part, None while nobody leads.
+        requests: Times at which callers sent requests, in order.
+        retries: Times at which retries reached endpoints.
+        lender: The leader's retry lender, None without a leader.
         lost_answers: Share of the leader's answers that are lost.
     """
 
@@ -43,14 +43,14 @@
     lost_answers: float = 0.0
     now: float = 100.0
     requests: list[float] = attrs.Factory(list)
-    again: list[float] = attrs.Factory(list)
+    retries: list[float] = attrs.Factory(list)
 
     def check(self) -> None:
         """Raise AssertionError if any window holds too many retries."""
-        self.again.sort()
-        for first, begin in enumerate(self.again):
+        self.retries.sort()
+        for first, begin in enumerate(self.retries):
             end = begin + WINDOW_S
-            found = bisect.bisect_left(self.again, end) - first
+            found = bisect.bisect_left(self.retries, end) - first
             counted = max(
                 self.requests_between(begin - back, end - back)
                 for back in (0.0, WINDOW_S / 2, WINDOW_S)
@@ -62,17 +62,17 @@
             )
 
     def requests_between(self, begin: float, end: float) -> int:
-        """Return the requests of a span of time."""
+        """Return the number of requests of a time span."""
         before = bisect.bisect_left(self.requests, begin)
         return bisect.bisect_left(self.requests, end) - before
 
-    def most_again(self) -> int:
-        """Return the most retries of any window."""
-        self.again.sort()
+    def max_retries(self) -> int:
+        """Return the largest number of retries of any window."""
+        self.retries.sort()
         return max(
             (
-                bisect.bisect_left(self.again, begin + WINDOW_S) - first
-                for first, begin in enumerate(self.again)
+                bisect.bisect_left(self.retries, begin + WINDOW_S) - first
+                for first, begin in enumerate(self.retries)
             ),
             default=0,
         )
@@ -83,9 +83,9 @@
     """A gateway's budget and its view of the members.
 
     Attributes:
-        seen_at: When it last heard from control.
-        until: No gateway process runs before this time.
-        reserved: Retries that are held for sends.
+        seen_at: Time of its last contact with control.
+        until: Time before which its process does not run.
+        reserved: Reserved retries that were not sent yet.
     """
 
     name: str
@@ -101,7 +101,7 @@
         self.start()
 
     def start(self) -> None:
-        """Begin another incarnation, which knows nothing."""
+        """Start another incarnation without any state."""
         self.budget = windowbudget.WindowBudget(
             RATIO, self.fleet.slack, WINDOW_S
         )
@@ -112,8 +112,8 @@
         self.seen_at = float("-inf")
         self.reserved.clear()
 
-    def learn(self, names: list[str]) -> None:
-        """Learn from control which gateways live."""
+    def update_members(self, names: list[str]) -> None:
+        """Apply the list of running gateways from control."""
         view = self.rotation.members
         lost = tuple(name for name in view.known if name not in names)
         found = tuple(
@@ -128,25 +128,25 @@
         self.seen_at = now
 
     @property
-    def sends(self) -> bool:
-        """Return whether it runs and its proof is young enough."""
+    def can_send(self) -> bool:
+        """Return whether it runs and its proof is not too old."""
         now = self.fleet.now
         return now >= self.until and now - self.seen_at < STALENESS_S
 
     def serve(self) -> None:
-        """Take a fresh request."""
+        """Receive a new request."""
         self.fleet.requests.append(self.fleet.now)
         self.budget.on_request(self.fleet.now)
 
-    def retry(self, most: int = 10_000) -> int:
-        """Send as many retries as the budget holds; return how many."""
+    def retry(self, max_retries: int = 10_000) -> int:
+        """Send as many retries as the budget allows; return their number."""
         count = 0
-        while count < most and self.sends and self.reserve():
+        while count < max_retries and self.can_send and self.reserve():
             count += self.send_reserved()
         return count
 
     def reserve(self) -> bool:
-        """Hold a retry for a send; return whether the budget had one."""
+        """Reserve a retry; return whether the budget had one."""
         now = self.fleet.now
         share = self.slack_share.minimum(now)
         retry = self.budget.reserve(share, now)
@@ -157,7 +157,7 @@
         return retry is not None
 
     def borrow(self) -> int:
-        """Ask the leader for retries; return how many it lends."""
+        """Borrow retries from the leader; return the number received."""
         fleet = self.fleet
         if fleet.lender is None:
             return 0
@@ -178,21 +178,21 @@
         return answer.amount
 
     def send_reserved(self) -> bool:
-        """Send the newest retry that is held; return whether it was sent."""
+        """Send the last reserved retry; return whether it was allowed."""
         now = self.fleet.now
         retry = self.reserved.pop()
         is_sent = self.budget.charge(retry, self.slack_share.minimum(now), now)
-        self.fleet.again += [now] * is_sent
+        self.fleet.retries += [now] * is_sent
         return is_sent
 
 
 @attrs.define
 class World:
-    """Gateways that live, die and lose sight of each other.
+    """Gateways that start, crash and lose their connection to control.
 
     Attributes:
-        lost_at: When a gateway that does not run was lost.
-        cut: Gateways that cannot reach control.
+        lost_at: Time of the loss of each gateway that is unreachable.
+        partitioned: End of the partition of each gateway without control.
         serving: Gateways that callers use.
     """
 
@@ -202,12 +202,12 @@
     fleet: Fleet = attrs.field(init=False)
     gateways: dict[str, Gateway] = attrs.field(init=False)
     lost_at: dict[str, float] = attrs.Factory(dict)
-    cut: dict[str, float] = attrs.Factory(dict)
+    partitioned: dict[str, float] = attrs.Factory(dict)
     serving: set[str] = attrs.field(init=False)
 
     def __attrs_post_init__(self):
         self.fleet = Fleet(self.rng, self.slack)
-        self.lead()
+        self.elect_leader()
         self.gateways = {
             f"g{number}": Gateway(f"g{number}", self.fleet)
             for number in range(self.count)
@@ -219,8 +219,8 @@
         """Return the virtual time in seconds."""
         return self.fleet.now
 
-    def seen_alive(self) -> list[str]:
-        """Return the gateways that control counts as alive."""
+    def detected_gateways(self) -> list[str]:
+        """Return the gateways that control considers running."""
         return [
             name
             for name, gateway in self.gateways.items()
@@ -228,61 +228,63 @@
         ]
 
     def run(self, seconds: float, retry_rate: float, rate: float = 0.0) -> None:
-        """Let time pass; rates are of each gateway and second."""
+        """Advance the time; rates are per gateway and second."""
         end = self.now + seconds
         while self.now < end - STEP_S / 2:
             self.fleet.now += STEP_S
             self.step(retry_rate, rate)
 
     def step(self, retry_rate: float, rate: float) -> None:
-        """Let gateways hear from control, take requests and retry."""
-        for name in [n for n, until in self.cut.items() if self.now >= until]:
-            del self.cut[name]
+        """Advance by one step: update members, receive requests, retry."""
+        for name in [
+            n for n, until in self.partitioned.items() if self.now >= until
+        ]:
+            del self.partitioned[name]
             self.lost_at.pop(name, None)
         for name, gateway in self.gateways.items():
-            if name not in self.cut and self.now >= gateway.until:
+            if name not in self.partitioned and self.now >= gateway.until:
                 self.lost_at.pop(name, None)
-        alive = self.seen_alive()
+        running = self.detected_gateways()
         for name, gateway in self.gateways.items():
-            if name not in self.cut and self.now >= gateway.until:
-                gateway.learn(alive)
-            if not gateway.sends or name not in self.serving:
+            if name not in self.partitioned and self.now >= gateway.until:
+                gateway.update_members(running)
+            if not gateway.can_send or name not in self.serving:
                 continue
             if self.rng.random() < rate * STEP_S:
                 gateway.serve()
             if self.rng.random() < retry_rate * STEP_S:
                 gateway.retry(self.rng.choice((1, 3, 10_000)))
 
-    def lead(self) -> None:
-        """Let another leader begin, which knows nothing of loans."""
+    def elect_leader(self) -> None:
+        """Elect another leader, which has no record of loans."""
         self.fleet.lender = retrylending.RetryLender(self.now)
 
-    def never_seen(self, names: list[str]) -> None:
-        """Let control know nothing of some gateways until they run."""
+    def hide(self, names: list[str]) -> None:
+        """Hide gateways from control until they run."""
         for name in names:
             self.lost_at[name] = float("-inf")
 
     def kill(self, names: list[str], down_s: float) -> None:
-        """End gateways; each starts again after `down_s`."""
+        """Kill gateways; each restarts after `down_s`."""
         for name in names:
             self.gateways[name].start()
             self.gateways[name].until = self.now + down_s
             self.lost_at[name] = self.now
 
     def reserve_all(self) -> None:
-        """Let all gateways hold every retry of their budgets for sends."""
+        """Let all gateways reserve every retry of their budgets."""
         for gateway in self.gateways.values():
             while gateway.reserve():
                 pass
 
     def send_reserved(self) -> None:
-        """Let all gateways that may send retries do so."""
+        """Let all gateways that can send do so with their reserved retries."""
         for gateway in self.gateways.values():
-            while gateway.reserved and gateway.sends:
+            while gateway.reserved and gateway.can_send:
                 gateway.send_reserved()
 
-    def cut_off(self, names: list[str], for_s: float) -> None:
-        """Keep gateways from control, which counts them as lost."""
+    def partition(self, names: list[str], for_s: float) -> None:
+        """Partition gateways from control, which considers them lost."""
         for name in names:
-            self.cut[name] = self.now + for_s
+            self.partitioned[name] = self.now + for_s
             self.lost_at[name] = self.now
