--- a/src/_coltsfootroad/core/attempts.py
+++ b/src/_coltsfootroad/core/attempts.py
@@ -13,6 +13,7 @@
 from _coltsfootroad.core import request as request_lib
 from _coltsfootroad.core import retries
 
+# A stream without a chunk for this long counts as lost.
 STREAM_IDLE_S = 20.0
 
 
--- a/src/_coltsfootroad/core/fanout.py
+++ b/src/_coltsfootroad/core/fanout.py
@@ -37,8 +37,8 @@
     """
     found = []
     key = f"{FANOUT_KEY}/{sender}/{turn}"
-    for other_zone, members in group_by_zone(receivers).items():
-        if other_zone == zone or len(members) == 1:
+    for receiver_zone, members in group_by_zone(receivers).items():
+        if receiver_zone == zone or len(members) == 1:
             found += [Delivery(member) for member in members]
         else:
             first = min(
