--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -45,9 +45,9 @@
     return endpoints, load
 
 
-def work_of(name: str, rng: random.Random) -> work_lib.Work:
+def work_of(name: str, rng: random.Random) -> work_lib.WorkItem:
     """Return a piece of work."""
-    return work_lib.Work(
+    return work_lib.WorkItem(
         endpoint=name,
         prompt_tokens=rng.choice((5_000, 5_000, 5_000, 45_000)),
         writing=rng.random() < 0.8,
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -58,7 +58,7 @@
     job: batchengine.Job
     weight: float
     gateway: int = 0
-    works: dict[int, work_lib.Work] = attrs.Factory(dict)
+    works: dict[int, work_lib.WorkItem] = attrs.Factory(dict)
     parts: int = 1
     tries: int = 0
     predicted_s: float = 0.0
@@ -265,7 +265,7 @@
             engine.submit(arrival.job, arrival.parts)
         else:
             engine.submit_part(arrival.job, arrival.parts)
-        work = work_lib.Work(
+        work = work_lib.WorkItem(
             endpoint=str(place),
             prompt_tokens=prompt.prompt_tokens,
             output_tokens=prompt.output_tokens,
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -21,7 +21,7 @@
 
     gateway: int
     key: int
-    work: work_lib.Work | None
+    work: work_lib.WorkItem | None
     lag_s: float
 
 
--- a/features/steps/batchengine_steps.py
+++ b/features/steps/batchengine_steps.py
@@ -112,9 +112,9 @@
 # --- choices -------------------------------------------------------------
 
 
-def work(**changes) -> work_lib.Work:
+def work(**changes) -> work_lib.WorkItem:
     """Return a request at the engine `e0`."""
-    return work_lib.Work(
+    return work_lib.WorkItem(
         **{"endpoint": "e0", "prompt_tokens": 5_000, "output_tokens": 1_600}
         | changes
     )
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -83,7 +83,7 @@
     def do_add(self, place, key):
         """Begin own work."""
         self.load.add(
-            work_lib.Work(
+            work_lib.WorkItem(
                 endpoint=NAMES[place],
                 prompt_tokens=40_000 * (1 + key),
                 sent_at=self.now,
@@ -234,7 +234,7 @@
         if number < idle:
             continue
         context.load.add(
-            work_lib.Work(
+            work_lib.WorkItem(
                 endpoint=name,
                 prompt_tokens=100_000,
                 writing=number >= idle + reading,
@@ -353,7 +353,7 @@
         ).endpoint.name
         context.got[name] = context.got.get(name, 0) + 1
         context.load.add(
-            work_lib.Work(endpoint=name, prompt_tokens=5_000, sent_at=10.1)
+            work_lib.WorkItem(endpoint=name, prompt_tokens=5_000, sent_at=10.1)
         )
 
 
--- a/features/steps/fanout_steps.py
+++ b/features/steps/fanout_steps.py
@@ -108,7 +108,7 @@
     context.sender = "z0-0"
     gossiper = context.gossipers[context.sender]
     load = gossiper.gateway.load
-    key = load.add(work_lib.Work(endpoint="e1"))
+    key = load.add(work_lib.WorkItem(endpoint="e1"))
     gossiper.send()
     context.received = [received(context, key)]
     load.remove(key)
@@ -145,7 +145,7 @@
     context.sender = "z0-0"
     context.network.frozen = {"z1-0"}
     gossiper = context.gossipers[context.sender]
-    gossiper.gateway.load.add(work_lib.Work(endpoint="e1"))
+    gossiper.gateway.load.add(work_lib.WorkItem(endpoint="e1"))
     context.seen = []
     for _ in range(turns):
         gossiper.send_summary(full=True)
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -423,10 +423,10 @@
 # --- spread --------------------------------------------------------------
 
 
-def writers(count: int, endpoint: str) -> list[work_lib.Work]:
+def writers(count: int, endpoint: str) -> list[work_lib.WorkItem]:
     """Return short streams that are being written."""
     return [
-        work_lib.Work(
+        work_lib.WorkItem(
             endpoint=endpoint,
             prompt_tokens=5_000,
             output_tokens=1_600,
@@ -557,8 +557,8 @@
 @then("own work is told once when it changes and whole when asked for")
 def own_work(context):
     load = workload.Workload()
-    first = load.add(work_lib.Work(endpoint="a", sent_at=1.0))
-    second = load.add(work_lib.Work(endpoint="b", sent_at=1.0))
+    first = load.add(work_lib.WorkItem(endpoint="a", sent_at=1.0))
+    second = load.add(work_lib.WorkItem(endpoint="b", sent_at=1.0))
     told_first = load.collect_changes(False, 2.0)
     assert [c.key for c in told_first] == [first, second]
     assert told_first[0].age_ms == 1000
@@ -589,7 +589,7 @@
 @given("an engine that was sent {count:d} prompts of {tokens:d} tokens 2 s ago")
 def was_sent(context, count, tokens):
     context.works = [
-        work_lib.Work(endpoint="e", prompt_tokens=tokens, sent_at=8.0)
+        work_lib.WorkItem(endpoint="e", prompt_tokens=tokens, sent_at=8.0)
         for _ in range(count)
     ]
 
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -142,7 +142,7 @@
     context.gateway = gatewaybed.Bed.without_sockets("g1")
     for _ in range(count):
         context.gateway.load.add(
-            work_lib.Work(endpoint="i-0123456789", prompt_tokens=1_000_000)
+            work_lib.WorkItem(endpoint="i-0123456789", prompt_tokens=1_000_000)
         )
 
 
--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -216,7 +216,7 @@
     for word in rounds.split():
         load = context.gateway.load
         if word == "yes":
-            load.add(work_lib.Work(endpoint="e1"))
+            load.add(work_lib.WorkItem(endpoint="e1"))
         else:
             for key in list(load.own):
                 load.remove(key)
--- a/features/steps/promises_steps.py
+++ b/features/steps/promises_steps.py
@@ -217,7 +217,7 @@
             version=2, services=(attrs.evolve(shop, engine=spec),)
         )
         for _ in range(late):
-            work = work_lib.Work(
+            work = work_lib.WorkItem(
                 endpoint=endpoint.name, sent_at=clocks.boot_time(), late=True
             )
             bed.gateway.load.add(work)
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -201,7 +201,7 @@
         self.earlier = self.endpoints.known[NAME]
         for _ in range(4):
             self.endpoints.on_failure(NAME, 2.0, unreachable=True)
-        self.load.add(work_lib.Work(endpoint=NAME, sent_at=2.0))
+        self.load.add(work_lib.WorkItem(endpoint=NAME, sent_at=2.0))
         told = workload.Change(1, NAME, age_ms=500)
         self.load.apply_summary(
             workload.Summary(
--- a/features/steps/sends_steps.py
+++ b/features/steps/sends_steps.py
@@ -10,7 +10,7 @@
 
 @when("a {kind} request with {attempts:d} attempts had the outcomes {outcomes}")
 def had_outcomes(context, kind, attempts, outcomes):
-    sends = sends_lib.Sends(attempts=attempts, idempotent=kind == "safe")
+    sends = sends_lib.SendHistory(attempts=attempts, idempotent=kind == "safe")
     for word in outcomes.split(", "):
         context.outcome = sends_lib.Outcome(word)
         sends.count += 1
--- a/features/steps/startshare_steps.py
+++ b/features/steps/startshare_steps.py
@@ -57,7 +57,9 @@
             name = choice.endpoint.name
             context.got[name] += 1
             load.add(
-                work_lib.Work(endpoint=name, prompt_tokens=5_000, sent_at=10.0)
+                work_lib.WorkItem(
+                    endpoint=name, prompt_tokens=5_000, sent_at=10.0
+                )
             )
 
 
--- a/src/_coltsfootroad/core/attempts.py
+++ b/src/_coltsfootroad/core/attempts.py
@@ -114,7 +114,7 @@
         self.core.counters.retries += 1
         if flight.stream.next_offset:
             self.core.counters.resumed += 1
-        flight.avoid.add(endpoint)
+        flight.avoided_endpoints.add(endpoint)
         flight.state = flights_lib.FlightState.BACKOFF
         pause = retries.backoff_s(flight.attempt, self.core.rng)
         self.core.flights.arm(flight, now + pause)
--- a/src/_coltsfootroad/core/config.py
+++ b/src/_coltsfootroad/core/config.py
@@ -190,7 +190,7 @@
         config = documents.CONVERTER.structure(document, Config)
     except Exception as error:  # pylint: disable=broad-except
         # cattrs raises exception groups of any errors of hooks and validators.
-        return invalid(documents.explain(error))
+        return invalid(documents.describe_errors(error))
     for name, workspace in config.workspaces.items():
         for service in workspace.services:
             if service not in config.services:
--- a/src/_coltsfootroad/core/dispatcher.py
+++ b/src/_coltsfootroad/core/dispatcher.py
@@ -186,7 +186,10 @@
         choice = None
         for _ in range(MAX_CHOICES):
             choice = policy.choose(flight.request, flight.band, pool, now)
-            if choice is None or choice.endpoint not in flight.avoid:
+            if (
+                choice is None
+                or choice.endpoint not in flight.avoided_endpoints
+            ):
                 return choice
         return choice
 
--- a/src/_coltsfootroad/core/documents.py
+++ b/src/_coltsfootroad/core/documents.py
@@ -38,13 +38,13 @@
 CONVERTER = make_converter()
 
 
-def describe(error: Exception, kind: type | None) -> str:
+def describe_error(error: Exception, kind: type | None) -> str:
     """Return the message of one error; hooks and validators name the value."""
     if isinstance(error, (TypeError, ValueError)) and error.args:
         return str(error.args[0])
     return format_exception(error, kind)
 
 
-def explain(error: Exception, path: str = "config") -> str:
+def describe_errors(error: Exception, path: str = "config") -> str:
     """Return one sentence per error, each with the path of its key."""
-    return "; ".join(cattrs.transform_error(error, path, describe))
+    return "; ".join(cattrs.transform_error(error, path, describe_error))
--- a/src/_coltsfootroad/core/enginebook.py
+++ b/src/_coltsfootroad/core/enginebook.py
@@ -86,7 +86,7 @@
 
     def works_at(
         self, endpoint: endpointset.KnownEndpoint
-    ) -> list[work_lib.Work]:
+    ) -> list[work_lib.WorkItem]:
         """Return the work that an endpoint was sent since it began.
 
         Other gateways may hear of a restart later and still tell of work at
--- a/src/_coltsfootroad/core/enginestate.py
+++ b/src/_coltsfootroad/core/enginestate.py
@@ -51,7 +51,7 @@
     endpoint: str
     near: bool = True
     pace: float = 1.0
-    writers: list[work_lib.Work] = attrs.Factory(list)
+    writers: list[work_lib.WorkItem] = attrs.Factory(list)
     free_at: float = NEVER
     reading_s: float = 0.0
     running: int = 0
@@ -61,7 +61,7 @@
     pause_s: float = 0.0
     bare_stakes: list[Stake] = attrs.Factory(list)
     stakes: list[Stake] = attrs.Factory(list)
-    coming: list[work_lib.Work] = attrs.Factory(list)
+    coming: list[work_lib.WorkItem] = attrs.Factory(list)
     coming_stakes: list[Stake] = attrs.Factory(list)
 
     def foresee(self, spec: routes.EngineSpec) -> None:
@@ -114,7 +114,7 @@
 
 def engine_state(
     endpoint: str,
-    works: Iterable[work_lib.Work],
+    works: Iterable[work_lib.WorkItem],
     spec: routes.EngineSpec,
     now: float,
     near: bool = True,
@@ -138,7 +138,9 @@
 
 
 def free_at(
-    works: Iterable[work_lib.Work], spec: routes.EngineSpec, pace: float = 1.0
+    works: Iterable[work_lib.WorkItem],
+    spec: routes.EngineSpec,
+    pace: float = 1.0,
 ) -> float:
     """Return when an engine will have read what it was sent.
 
@@ -155,7 +157,7 @@
 
 
 def reading_left_s(
-    works: Iterable[work_lib.Work],
+    works: Iterable[work_lib.WorkItem],
     spec: routes.EngineSpec,
     now: float,
     pace: float = 1.0,
--- a/src/_coltsfootroad/core/flights.py
+++ b/src/_coltsfootroad/core/flights.py
@@ -56,7 +56,7 @@
     progress_at: float = 0.0
     predicted_s: float = 0.0
     answer_parts: list[bytes] = attrs.Factory(list)
-    avoid: set[str] = attrs.Factory(set)
+    avoided_endpoints: set[str] = attrs.Factory(set)
 
     @property
     def request_id(self) -> str:
--- a/src/_coltsfootroad/core/loadindex.py
+++ b/src/_coltsfootroad/core/loadindex.py
@@ -25,7 +25,7 @@
         counted: The version at which `unread` was counted.
     """
 
-    works: dict[WorkKey, work_lib.Work] = attrs.Factory(dict)
+    works: dict[WorkKey, work_lib.WorkItem] = attrs.Factory(dict)
     version: int = 0
     unread: int = 0
     counted: int = -1
@@ -61,7 +61,7 @@
         """Return the work at an endpoint; not to be changed by the caller."""
         return self.loads.get(endpoint, NOTHING)
 
-    def put(self, key: WorkKey, work: work_lib.Work) -> None:
+    def put(self, key: WorkKey, work: work_lib.WorkItem) -> None:
         """Add a piece of work, or note that it has changed."""
         load = self.loads.get(work.endpoint)
         if load is None:
@@ -73,7 +73,7 @@
         else:
             self.drop_late(key, work.endpoint)
 
-    def drop(self, key: WorkKey, work: work_lib.Work) -> None:
+    def drop(self, key: WorkKey, work: work_lib.WorkItem) -> None:
         """Take a piece of work out."""
         load = self.loads.get(work.endpoint)
         if load is None or load.works.pop(key, None) is None:
--- a/src/_coltsfootroad/core/sends.py
+++ b/src/_coltsfootroad/core/sends.py
@@ -12,7 +12,7 @@
 
 # Extra sends for endpoints that proved not to have run the request. Such a send
 # costs only a round trip, and the request cannot run twice.
-EXTRA_UNRUN_SENDS = 2
+EXTRA_NOT_RUN_SENDS = 2
 
 
 class Outcome(enum.Enum):
@@ -26,7 +26,7 @@
 
 
 @attrs.define
-class Sends:
+class SendHistory:
     """The sends of one request.
 
     Attributes:
@@ -43,7 +43,7 @@
     runs: int = 0
     tried: set[str] = attrs.Factory(set)
 
-    def may_switch(self) -> bool:
+    def may_fail_over(self) -> bool:
         """Return whether a silent send may fail over to another endpoint."""
         return self.idempotent and self.runs + 1 < self.attempts
 
@@ -55,6 +55,6 @@
             return "it may have run and must not run twice"
         if self.runs >= self.attempts:
             return f"{self.runs} endpoints of {self.attempts} were used"
-        if self.count >= self.attempts + EXTRA_UNRUN_SENDS:
+        if self.count >= self.attempts + EXTRA_NOT_RUN_SENDS:
             return f"it was sent {self.count} times"
         return ""
--- a/src/_coltsfootroad/core/windowbudget.py
+++ b/src/_coltsfootroad/core/windowbudget.py
@@ -130,11 +130,11 @@
 
     def trim(self, now: float) -> None:
         """Drop requests and retries that are older than the window."""
-        drop_until(self.requests, now - self.window_s)
-        drop_until(self.retries, now - self.window_s - ARRIVAL_LAG_S)
+        drop_through(self.requests, now - self.window_s)
+        drop_through(self.retries, now - self.window_s - ARRIVAL_LAG_S)
 
 
-def drop_until(times: collections.deque[float], oldest: float) -> None:
+def drop_through(times: collections.deque[float], oldest: float) -> None:
     """Drop the times up to `oldest`."""
     while times and times[0] <= oldest:
         times.popleft()
--- a/src/_coltsfootroad/core/work.py
+++ b/src/_coltsfootroad/core/work.py
@@ -4,7 +4,7 @@
 
 
 @attrs.define
-class Work:
+class WorkItem:
     """A request or part of a prompt that was sent to an endpoint.
 
     Attributes:
--- a/src/_coltsfootroad/core/workload.py
+++ b/src/_coltsfootroad/core/workload.py
@@ -60,7 +60,7 @@
 
     mark: tuple[int, int]
     received_at: float
-    works: dict[int, work_lib.Work] = attrs.Factory(dict)
+    works: dict[int, work_lib.WorkItem] = attrs.Factory(dict)
     prompts: set[int] = attrs.Factory(set)
 
 
@@ -78,14 +78,14 @@
         next_key: Key of the next work item.
     """
 
-    own: dict[int, work_lib.Work] = attrs.Factory(dict)
+    own: dict[int, work_lib.WorkItem] = attrs.Factory(dict)
     foreign: dict[str, ForeignWork] = attrs.Factory(dict)
     index: loadindex.LoadIndex = attrs.Factory(loadindex.LoadIndex)
     changed: dict[int, None] = attrs.Factory(dict)
     published: set[int] = attrs.Factory(set)
     next_key: int = 1
 
-    def add(self, work: work_lib.Work) -> int:
+    def add(self, work: work_lib.WorkItem) -> int:
         """Add own work that is about to be sent; return its key."""
         key = self.next_key
         self.next_key += 1
@@ -199,14 +199,14 @@
             if now - known.received_at > GATEWAY_TIMEOUT_S:
                 self.drop_gateway(name)
 
-    def at_endpoint(self, endpoint: str) -> list[work_lib.Work]:
+    def at_endpoint(self, endpoint: str) -> list[work_lib.WorkItem]:
         """Return all work at one endpoint."""
         return list(self.index.at(endpoint).works.values())
 
 
-def to_work(change: Change, now: float) -> work_lib.Work:
+def to_work(change: Change, now: float) -> work_lib.WorkItem:
     """Return the work item that a change describes."""
-    return work_lib.Work(
+    return work_lib.WorkItem(
         endpoint=change.endpoint,
         prompt_tokens=change.prompt_tokens,
         output_tokens=change.output_tokens,
--- a/src/_coltsfootroad/gateway/exchange.py
+++ b/src/_coltsfootroad/gateway/exchange.py
@@ -55,7 +55,7 @@
     request: admission.CallerRequest
     request_id: str = ""
     admitted: admission.Admitted | None = None
-    sends: sends_lib.Sends | None = None
+    sends: sends_lib.SendHistory | None = None
     fault: answers.HeldAnswer | None = None
     tickets: tickets_lib.TicketSet | None = None
     guard: contentguard.ContentGuard = attrs.field(init=False)
@@ -121,7 +121,7 @@
             self.reply.refuse(found.error.failure, found.error.route)
             return
         self.admitted = found.ok
-        self.sends = sends_lib.Sends(
+        self.sends = sends_lib.SendHistory(
             attempts=self.route.attempts, idempotent=self.route.idempotent
         )
         await start_up.wait(
@@ -257,13 +257,13 @@
             self.guard.send_timeout = None
             watchdog.stop()
 
-    def may_switch(self) -> bool:
+    def may_fail_over(self) -> bool:
         """Return whether another endpoint takes over from a silent one.
 
         The retry is reserved at once: a send that is given up without one
         would cut off an answer that may only be slow.
         """
-        if self.guard.on_trial or not self.sends.may_switch():
+        if self.guard.on_trial or not self.sends.may_fail_over():
             return False
         now = clocks.boot_time()
         if self.unfit_reason(now) or not self.has_untried(now):
--- a/src/_coltsfootroad/gateway/ownwork.py
+++ b/src/_coltsfootroad/gateway/ownwork.py
@@ -30,7 +30,7 @@
         held = {share.endpoint.name: share.tokens for share in choice.shares}
         known = (choice.endpoint, *choice.helpers)
         for place, endpoint in enumerate(known):
-            work = work_lib.Work(endpoint=endpoint.name, sent_at=now)
+            work = work_lib.WorkItem(endpoint=endpoint.name, sent_at=now)
             work.leads = place == 0
             work.kv_tokens = held.get(endpoint.name, 0)
             if prompt is not None:
@@ -72,7 +72,7 @@
 
 
 def describe(
-    work: work_lib.Work, prompt: spread.Prompt, parts: int, late: bool
+    work: work_lib.WorkItem, prompt: spread.Prompt, parts: int, late: bool
 ) -> None:
     """Say what a prompt is at one of the endpoints that read it."""
     work.prompt_tokens = prompt.prompt_tokens
--- a/src/_coltsfootroad/gateway/watchdog.py
+++ b/src/_coltsfootroad/gateway/watchdog.py
@@ -48,7 +48,7 @@
         left_s = self.allowed_s(now) - silent_s
         if left_s > 0:
             self.timer = loop.call_later(min(left_s, LOOK_AGAIN_S), self.look)
-        elif self.exchange.may_switch():
+        elif self.exchange.may_fail_over():
             self.timeout.reschedule(loop.time())
         else:
             self.timer = loop.call_later(LOOK_AGAIN_S, self.look)
--- a/src/_coltsfootroad/replay/trace.py
+++ b/src/_coltsfootroad/replay/trace.py
@@ -157,7 +157,7 @@
         return Ok(documents.CONVERTER.structure(document, LINES[kind]))
     except Exception as error:  # noqa: BLE001
         # cattrs raises groups of whatever the hooks raise.
-        return Error(documents.explain(error, "$"))
+        return Error(documents.describe_errors(error, "$"))
 
 
 def assemble(path: str, lines: list[object]) -> Result[Trace, str]:
--- a/src/_coltsfootroad/shell/callers.py
+++ b/src/_coltsfootroad/shell/callers.py
@@ -363,7 +363,7 @@
             message = documents.CONVERTER.structure(document, self.kind)
         except Exception as error:  # noqa: BLE001
             # cattrs raises groups of whatever the hooks raise.
-            text = documents.explain(error).replace("config", "body", 1)
+            text = documents.describe_errors(error).replace("config", "body", 1)
             self.fail(errors.Failure(errors.ErrorCode.BAD_REQUEST, text))
             return
         self.take(message)
--- a/src/_coltsfootroad/shell/operators.py
+++ b/src/_coltsfootroad/shell/operators.py
@@ -137,7 +137,7 @@
                 self.read_json(), messages.ChangeReplicas
             )
         except Exception as error:  # noqa: BLE001
-            text = documents.explain(error)
+            text = documents.describe_errors(error)
             self.fail(errors.Failure(errors.ErrorCode.BAD_REQUEST, text))
             return
         if await self.ask(change) is not None:
--- a/src/_coltsfootroad/shell/quarantineapi.py
+++ b/src/_coltsfootroad/shell/quarantineapi.py
@@ -40,7 +40,7 @@
         try:
             wanted = documents.CONVERTER.structure(self.read_json(), NewEntry)
         except Exception as error:  # noqa: BLE001
-            self.bad(documents.explain(error, "entry"))
+            self.bad(documents.describe_errors(error, "entry"))
             return
         fault = fault_of(wanted)
         if fault:
--- a/src/_coltsfootroad/shell/settings.py
+++ b/src/_coltsfootroad/shell/settings.py
@@ -276,7 +276,7 @@
         return Ok(documents.CONVERTER.structure(document, kind))
     except Exception as error:  # noqa: BLE001
         # cattrs raises groups of whatever the hooks and validators raise.
-        faults = documents.explain(error, "$")
+        faults = documents.describe_errors(error, "$")
         return Error(f"settings {path}: {faults}")
 
 
