--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -45,9 +45,9 @@
     return endpoints, load
 
 
-def work_of(name: str, rng: random.Random) -> work_lib.Work:
+def work_of(name: str, rng: random.Random) -> work_lib.WorkItem:
     """Return a piece of work."""
-    return work_lib.Work(
+    return work_lib.WorkItem(
         endpoint=name,
         prompt_tokens=rng.choice((5_000, 5_000, 5_000, 45_000)),
         writing=rng.random() < 0.8,
@@ -72,7 +72,7 @@
     for _ in range(ROUNDS.value):
         # As many changes as engines: nearly every kept state is out of date.
         for key in rng.sample(keys, min(count, len(keys))):
-            load.touch(key)
+            load.mark_changed(key)
         began = time.process_time()
         chooser.choose(SERVICE, prompt, set(), 10.0)
         spent += time.process_time() - began
--- a/features/gateway/parts.feature
+++ b/features/gateway/parts.feature
@@ -130,5 +130,5 @@
 
     Examples:
       | what                                  | most |
-      | the rest after 30 failures in a row   | 5    |
+      | the ejection time after 30 failures in a row   | 5    |
       | the number of gone endpoints of 9000  | 4096 |
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -83,7 +83,7 @@
     def do_add(self, place, key):
         """Add an own work item."""
         self.load.add(
-            work_lib.Work(
+            work_lib.WorkItem(
                 endpoint=NAMES[place],
                 prompt_tokens=40_000 * (1 + key),
                 sent_at=self.now,
@@ -102,14 +102,14 @@
         found = self.own_key(key)
         if found is not None:
             self.load.own[found].writing = True
-            self.load.touch(found)
+            self.load.mark_changed(found)
 
     def do_late(self, _place, key):
         """Drop the gap target of an own work item."""
         found = self.own_key(key)
         if found is not None:
             self.load.own[found].gap_target_s = 0.0
-            self.load.touch(found)
+            self.load.mark_changed(found)
 
     def do_remove(self, _place, key):
         """Remove an own work item."""
@@ -121,7 +121,7 @@
         """Apply another gateway's summary."""
         gateway = "g1" if place % 2 else "g2"
         self.seqs[gateway] += 1
-        self.load.take(
+        self.load.apply_summary(
             workload.Summary(
                 gateway=gateway,
                 incarnation=1,
@@ -180,7 +180,7 @@
             wanted.setdefault(work.endpoint, {})[key] = work
         assert {n: at.works for n, at in index.loads.items()} == wanted
         late = {
-            name: {key for key, work in works.items() if work.waits_late}
+            name: {key for key, work in works.items() if work.is_late_waiting}
             for name, works in wanted.items()
         }
         assert index.late == {name: keys for name, keys in late.items() if keys}
@@ -232,7 +232,7 @@
         if number < idle:
             continue
         context.load.add(
-            work_lib.Work(
+            work_lib.WorkItem(
                 endpoint=name,
                 prompt_tokens=100_000,
                 writing=number >= idle + prefilling,
@@ -358,7 +358,7 @@
         ).endpoint.name
         context.counts[name] = context.counts.get(name, 0) + 1
         context.load.add(
-            work_lib.Work(endpoint=name, prompt_tokens=5_000, sent_at=10.1)
+            work_lib.WorkItem(endpoint=name, prompt_tokens=5_000, sent_at=10.1)
         )
 
 
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -423,10 +423,10 @@
 # --- spread --------------------------------------------------------------
 
 
-def writers(count: int, endpoint: str) -> list[work_lib.Work]:
+def writers(count: int, endpoint: str) -> list[work_lib.WorkItem]:
     """Return short streams that are being written."""
     return [
-        work_lib.Work(
+        work_lib.WorkItem(
             endpoint=endpoint,
             prompt_tokens=5_000,
             output_tokens=1_600,
@@ -519,7 +519,7 @@
     load = workload.Workload()
     for seq in (earlier, later):
         change = workload.Change(seq, f"e{seq}", age_ms=500)
-        result = load.take(told(seq, change), 10.0)
+        result = load.apply_summary(told(seq, change), 10.0)
     assert result == (taken == "taken")
     work = load.foreign["g"].works[earlier]
     assert work.sent_at == 9.5, work
@@ -528,7 +528,7 @@
 @then("a gateway that is silent for {seconds:g} s counts {count:d} pieces")
 def silent(context, seconds, count):
     load = workload.Workload()
-    load.take(told(1, workload.Change(1, "e")), 10.0)
+    load.apply_summary(told(1, workload.Change(1, "e")), 10.0)
     load.expire(10.0 + seconds)
     assert len(load.at_endpoint("e")) == count
 
@@ -545,7 +545,7 @@
             if k
         ]
         starts_anew = kind == "restart"
-        load.take(
+        load.apply_summary(
             told(
                 seq + 1,
                 *changes,
@@ -561,15 +561,15 @@
 @then("own work is told once when it changes and whole when asked for")
 def own_work(context):
     load = workload.Workload()
-    first = load.add(work_lib.Work(endpoint="a", sent_at=1.0))
-    second = load.add(work_lib.Work(endpoint="b", sent_at=1.0))
-    told_first = load.take_changes(False, 2.0)
+    first = load.add(work_lib.WorkItem(endpoint="a", sent_at=1.0))
+    second = load.add(work_lib.WorkItem(endpoint="b", sent_at=1.0))
+    told_first = load.collect_changes(False, 2.0)
     assert [c.key for c in told_first] == [first, second]
     assert told_first[0].age_ms == 1000
-    assert load.take_changes(False, 2.0) == ()
+    assert load.collect_changes(False, 2.0) == ()
     load.remove(first)
-    assert load.take_changes(False, 2.0) == (workload.Change(first),)
-    assert [c.key for c in load.take_changes(True, 2.0)] == [second]
+    assert load.collect_changes(False, 2.0) == (workload.Change(first),)
+    assert [c.key for c in load.collect_changes(True, 2.0)] == [second]
 
 
 @then("{kind} failures {count:d} in a row make an endpoint {state}")
@@ -593,7 +593,7 @@
 @given("an engine that was sent {count:d} prompts of {tokens:d} tokens 2 s ago")
 def was_sent(context, count, tokens):
     context.works = [
-        work_lib.Work(endpoint="e", prompt_tokens=tokens, sent_at=8.0)
+        work_lib.WorkItem(endpoint="e", prompt_tokens=tokens, sent_at=8.0)
         for _ in range(count)
     ]
 
@@ -624,4 +624,4 @@
 @then("a request of aim {aim:g} s that waited {waited:g} s ranks {rank:d}")
 def ranks(context, aim, waited, rank):
     route = attrs.evolve(gatewaybed.config().routes[2], target_s=aim)
-    assert urgency.of(route, waited, 0.1) == rank
+    assert urgency.engine_rank(route, waited, 0.1) == rank
--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -175,7 +175,7 @@
             full=False,
             changes=(change,),
         )
-        context.gateway.load.take(summary, 0.0)
+        context.gateway.load.apply_summary(summary, 0.0)
 
 
 @then("it reports work to {count:d} others, that gateway {included}")
@@ -216,7 +216,7 @@
     for word in rounds.split():
         load = context.gateway.load
         if word == "yes":
-            load.add(work_lib.Work(endpoint="e1"))
+            load.add(work_lib.WorkItem(endpoint="e1"))
         else:
             for key in list(load.own):
                 load.remove(key)
--- a/src/_coltsfootroad/control/configstore.py
+++ b/src/_coltsfootroad/control/configstore.py
@@ -51,7 +51,7 @@
             if record.digest == digest:
                 return record.answer
             return self.refuse(
-                errors.ErrorCode.PATCH_REUSED,
+                errors.ErrorCode.PATCH_ID_REUSED,
                 f"patch id {command.patch_id!r} was used for another patch",
             )
         answer = self.apply(command)
--- a/src/_coltsfootroad/core/attempts.py
+++ b/src/_coltsfootroad/core/attempts.py
@@ -1,4 +1,4 @@
-"""What becomes of attempts: progress, failure, retry, the end."""
+"""Follows dispatched attempts: progress, failure, retry and completion."""
 
 import attrs
 
@@ -9,10 +9,11 @@
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import faults
 from _coltsfootroad.core import flights as flights_lib
-from _coltsfootroad.core import hosts
+from _coltsfootroad.core import interfaces
 from _coltsfootroad.core import request as request_lib
 from _coltsfootroad.core import retries
 
+# A stream without a chunk for this long counts as lost.
 STREAM_IDLE_S = 20.0
 
 
@@ -20,13 +21,13 @@
 
 
 @attrs.define
-class Attempts(hosts.Ending):
-    """The part of the entry core from the first chunk to the end."""
+class Attempts(interfaces.AttemptsInterface):
+    """Handles attempts from their dispatch to the end of the request."""
 
-    core: hosts.AttemptHost
+    core: interfaces.AttemptContext
 
-    def note_progress(self, flight: flights_lib.Flight, now: float) -> None:
-        """Learn from a chunk's timing and push the timeout back."""
+    def record_progress(self, flight: flights_lib.Flight, now: float) -> None:
+        """Update speed estimates from a chunk and extend the timeout."""
         flight.progress_at = now
         self.core.flights.arm(flight, now + STREAM_IDLE_S)
         key = (flight.request_id, flight.attempt)
@@ -42,36 +43,37 @@
             )
         if flight.first_token_at is None:
             flight.first_token_at = now
-            self.core.dispatcher.pump(flight.request.service, now)
+            self.core.dispatcher.dispatch_queued(flight.request.service, now)
 
     def emit(
         self, flight: flights_lib.Flight, chunk: request_lib.Chunk
     ) -> None:
-        """Hand a piece to the caller and keep it for the claim."""
-        if flight.request.claims_key:
+        """Send a chunk to the caller; keep its data if a claim stores it."""
+        if flight.request.needs_claim:
             flight.answer_parts.append(chunk.data)
         self.core.out.append(
             actions.Emit(request_id=flight.request_id, chunk=chunk)
         )
 
-    def running(
+    def running_flight(
         self, request_id: str, attempt: int
     ) -> flights_lib.Flight | None:
-        """Return a flight whose current attempt this is and still runs.
+        """Return the flight whose current attempt this is, if it is running.
 
-        An attempt that was given up keeps its number until the next one
-        begins; its endpoint may hold memory for it meanwhile.
+        An abandoned attempt keeps its number until the next one starts, so the
+        number alone does not show that it is running. Its endpoint may still
+        hold memory for it.
         """
         flight = self.core.flights.get(request_id)
         if flight is None or flight.attempt != attempt:
             return None
-        running = flight.state is flights_lib.FlightState.RUNNING
-        return flight if running else None
+        is_running = flight.state is flights_lib.FlightState.RUNNING
+        return flight if is_running else None
 
-    def work_freed(
+    def release_work(
         self, endpoint: str, key: endpoints.WorkKey, now: float
     ) -> None:
-        """Forget a piece of work whose memory is free."""
+        """Remove an attempt from an endpoint that has freed its memory."""
         self.core.releaser.confirmed(endpoint, key)
         view = self.core.view(endpoint)
         if view is None:
@@ -79,16 +81,16 @@
         view.remove_work(key, now)
         pool = self.core.pools[self.core.endpoint_service[endpoint]]
         pool.classify(view)
-        self.core.dispatcher.pump(pool.service, now)
+        self.core.dispatcher.dispatch_queued(pool.service, now)
 
-    def attempt_failed(
+    def handle_failed_attempt(
         self,
         flight: flights_lib.Flight,
         endpoint: str,
         fault: Fault,
         now: float,
     ) -> None:
-        """Retry a failed attempt where that is safe, else fail."""
+        """Retry a failed attempt if that is safe, else fail its request."""
         outliers = self.core.pool(flight.request.service).outliers
         if fault is Fault.NOT_SENT:
             outliers.on_refused(endpoint, now)
@@ -96,32 +98,34 @@
             outliers.on_failure(endpoint, now)
         nothing_ran = fault is not Fault.LOST and len(flight.parts) == 1
         if nothing_ran:
-            flight.may_have_run = flight.lost_before
+            flight.may_have_run = flight.had_lost_attempt
         else:
-            flight.lost_before = True
-        self.free_parts(flight, now, freed=nothing_ran)
+            flight.had_lost_attempt = True
+        self.release_parts(flight, now, freed=nothing_ran)
         if flight.request.non_idempotent and flight.may_have_run:
-            self.fail(flight, lost(endpoint), now)
+            self.fail(flight, endpoint_failed(endpoint), now)
             return
         exhausted = flight.attempt >= retries.MAX_ATTEMPTS
         if exhausted or not self.core.budget.take():
-            self.fail(flight, lost(endpoint, may_have_run(flight)), now)
+            self.fail(
+                flight, endpoint_failed(endpoint, may_have_run(flight)), now
+            )
             return
         self.core.counters.retries += 1
         if flight.stream.next_offset:
             self.core.counters.resumed += 1
-        flight.avoid.add(endpoint)
+        flight.avoided_endpoints.add(endpoint)
         flight.state = flights_lib.FlightState.BACKOFF
         pause = retries.backoff_s(flight.attempt, self.core.rng)
         self.core.flights.arm(flight, now + pause)
 
-    def free_parts(
+    def release_parts(
         self, flight: flights_lib.Flight, now: float, freed: bool
     ) -> None:
-        """Free the memory of the current attempt on all its engines.
+        """Release the memory of the current attempt on all its engines.
 
-        `freed` says that the engines hold nothing; otherwise each part is
-        cancelled until its engine confirms.
+        With `freed` the engines are known to hold none. Otherwise cancels are
+        sent to each engine until it confirms.
         """
         key = (flight.request_id, flight.attempt)
         for part in flight.parts:
@@ -143,23 +147,23 @@
         answer: request_lib.Answer | None,
         now: float,
     ) -> None:
-        """End a flight whose answer is whole."""
-        self.learn(flight, now)
+        """End a flight whose answer is complete."""
+        self.observe_answer(flight, now)
         leader = flight.parts[0].endpoint
         key = (flight.request_id, flight.attempt)
-        self.work_freed(leader, key, now)
+        self.release_work(leader, key, now)
         flight.parts = flight.parts[1:]
-        self.free_parts(flight, now, freed=False)
+        self.release_parts(flight, now, freed=False)
         request = flight.request
         if flight.claim_granted:
-            whole = answer or request_lib.Answer(
+            stored = answer or request_lib.Answer(
                 status=200,
                 body=b"".join(flight.answer_parts),
                 content_type=claiming.STREAM_CONTENT_TYPE,
             )
             self.core.out.append(
                 actions.SettleClaim(
-                    request=request, ran=errors.Ran.YES, answer=whole
+                    request=request, ran=errors.Ran.YES, answer=stored
                 )
             )
         self.core.counters.finished += 1
@@ -168,8 +172,8 @@
             actions.Finish(request_id=flight.request_id, answer=answer)
         )
 
-    def learn(self, flight: flights_lib.Flight, now: float) -> None:
-        """Learn decode speed and output length from a whole answer."""
+    def observe_answer(self, flight: flights_lib.Flight, now: float) -> None:
+        """Update decode speed and output share from a complete answer."""
         tokens = flight.stream.next_offset
         if flight.first_token_at is None or tokens < 2:
             return
@@ -185,11 +189,11 @@
         failure: errors.Failure,
         now: float,
     ) -> None:
-        """End a flight with its final failure, at once."""
+        """End a flight with its final failure."""
         ran = may_have_run(flight)
         if failure.ran is errors.Ran.NO and ran is not errors.Ran.NO:
             failure = attrs.evolve(failure, ran=ran)
-        self.free_parts(flight, now, freed=False)
+        self.release_parts(flight, now, freed=False)
         if flight.claim_granted or flight.claim_tries:
             self.core.out.append(
                 actions.SettleClaim(request=flight.request, ran=failure.ran)
@@ -201,7 +205,7 @@
         )
 
     def end(self, flight: flights_lib.Flight, used: int, now: float) -> None:
-        """Take a flight out of every table."""
+        """Remove a flight from every table; `used` is its output tokens."""
         request = flight.request
         self.core.dispatcher.queue(request.service).remove(request)
         meter = self.core.limits.meter(request.workspace)
@@ -211,16 +215,18 @@
         else:
             meter.waiting -= 1
         self.core.flights.remove(flight)
-        self.core.dispatcher.pump(request.service, now)
+        self.core.dispatcher.dispatch_queued(request.service, now)
 
 
 def may_have_run(flight: flights_lib.Flight) -> errors.Ran:
-    """Return what can be said of the work of a flight that failed."""
+    """Return whether the work of a failed flight may have run."""
     return errors.Ran.UNKNOWN if flight.may_have_run else errors.Ran.NO
 
 
-def lost(endpoint: str, ran: errors.Ran = errors.Ran.UNKNOWN) -> errors.Failure:
-    """Return the failure of a request whose attempts were lost."""
+def endpoint_failed(
+    endpoint: str, ran: errors.Ran = errors.Ran.UNKNOWN
+) -> errors.Failure:
+    """Return the failure of a request whose last attempt failed."""
     return errors.Failure(
         errors.ErrorCode.ENDPOINT_FAILED,
         f"endpoint {endpoint!r} failed before the answer was whole",
@@ -230,7 +236,7 @@
 
 
 def deadline_exceeded(flight: flights_lib.Flight) -> errors.Failure:
-    """Return the failure of a request whose time is over."""
+    """Return the failure of a request whose deadline has passed."""
     return errors.Failure(
         errors.ErrorCode.DEADLINE_EXCEEDED,
         f"the deadline passed while the request was {flight.state.value}",
@@ -239,7 +245,7 @@
 
 
 def no_endpoint(flight: flights_lib.Flight) -> errors.Failure:
-    """Return the failure of a request that no endpoint is left for."""
+    """Return the failure of a request whose service has no endpoint left."""
     return errors.Failure(
         errors.ErrorCode.NO_ENDPOINT,
         f"no endpoint serves {flight.request.service!r} any more",
@@ -249,7 +255,7 @@
 
 
 def caller_gone() -> errors.Failure:
-    """Return the failure of a request that nobody waits for."""
+    """Return the failure of a request whose caller has disconnected."""
     return errors.Failure(
         errors.ErrorCode.CALLER_GONE, "the caller closed the connection"
     )
--- a/src/_coltsfootroad/core/enginestate.py
+++ b/src/_coltsfootroad/core/enginestate.py
@@ -54,7 +54,7 @@
     endpoint: str
     in_gateway_zone: bool = True
     slowdown: float = 1.0
-    decoding: list[work_lib.Work] = attrs.Factory(list)
+    decoding: list[work_lib.WorkItem] = attrs.Factory(list)
     prefill_done_at: float = NEVER
     prefill_left_s: float = 0.0
     running: int = 0
@@ -64,7 +64,7 @@
     gap_s: float = 0.0
     on_time: list[ProtectedStream] = attrs.Factory(list)
     protected: list[ProtectedStream] = attrs.Factory(list)
-    prefilling: list[work_lib.Work] = attrs.Factory(list)
+    prefilling: list[work_lib.WorkItem] = attrs.Factory(list)
     prefilling_protected: list[ProtectedStream] = attrs.Factory(list)
 
     def update_gaps(self, spec: routes.EngineSpec) -> None:
@@ -118,7 +118,7 @@
 
 def engine_state(
     endpoint: str,
-    works: Iterable[work_lib.Work],
+    works: Iterable[work_lib.WorkItem],
     spec: routes.EngineSpec,
     now: float,
     in_gateway_zone: bool = True,
@@ -142,7 +142,7 @@
 
 
 def prefill_done_at(
-    works: Iterable[work_lib.Work],
+    works: Iterable[work_lib.WorkItem],
     spec: routes.EngineSpec,
     slowdown: float = 1.0,
 ) -> float:
@@ -161,7 +161,7 @@
 
 
 def remaining_prefill_s(
-    works: Iterable[work_lib.Work],
+    works: Iterable[work_lib.WorkItem],
     spec: routes.EngineSpec,
     now: float,
     slowdown: float = 1.0,
--- a/src/_coltsfootroad/core/enginestatecache.py
+++ b/src/_coltsfootroad/core/enginestatecache.py
@@ -86,7 +86,7 @@
 
     def current_work(
         self, endpoint: endpointset.KnownEndpoint
-    ) -> list[work_lib.Work]:
+    ) -> list[work_lib.WorkItem]:
         """Return the work that was sent to an endpoint since its last restart.
 
         Other gateways may learn of the restart later and still report work of
--- a/src/_coltsfootroad/core/errors.py
+++ b/src/_coltsfootroad/core/errors.py
@@ -6,7 +6,7 @@
 
 
 class Ran(enum.Enum):
-    """Whether the work of a failed request happened at an endpoint."""
+    """Whether a failed request ran at an endpoint."""
 
     NO = "no"
     YES = "yes"
@@ -21,7 +21,7 @@
     UNAUTHORIZED = "unauthorized"
     UNKNOWN_SERVICE = "unknown_service"
     FORBIDDEN_SERVICE = "forbidden_service"
-    KEY_REQUIRED_AGE = "key_without_age"
+    KEY_WITHOUT_AGE = "key_without_age"
     KEY_EXPIRED = "key_expired"
     KEY_REUSED = "key_reused"
     IN_PROGRESS = "in_progress"
@@ -40,7 +40,7 @@
     CALLER_GONE = "caller_gone"
     STALE_VERSION = "stale_version"
     INVALID_CONFIG = "invalid_config"
-    PATCH_REUSED = "patch_id_reused"
+    PATCH_ID_REUSED = "patch_id_reused"
     NOT_FOUND = "not_found"
     QUARANTINED = "quarantined"
     UNAVAILABLE = "unavailable"
@@ -53,7 +53,7 @@
     ErrorCode.UNAUTHORIZED: 401,
     ErrorCode.UNKNOWN_SERVICE: 404,
     ErrorCode.FORBIDDEN_SERVICE: 403,
-    ErrorCode.KEY_REQUIRED_AGE: 400,
+    ErrorCode.KEY_WITHOUT_AGE: 400,
     ErrorCode.KEY_EXPIRED: 410,
     ErrorCode.KEY_REUSED: 422,
     ErrorCode.IN_PROGRESS: 409,
@@ -72,7 +72,7 @@
     ErrorCode.CALLER_GONE: 499,
     ErrorCode.STALE_VERSION: 412,
     ErrorCode.INVALID_CONFIG: 400,
-    ErrorCode.PATCH_REUSED: 422,
+    ErrorCode.PATCH_ID_REUSED: 422,
     ErrorCode.NOT_FOUND: 404,
     ErrorCode.QUARANTINED: 503,
     ErrorCode.UNAVAILABLE: 503,
@@ -87,8 +87,8 @@
     Attributes:
         code: Stable code for programs.
         message: One sentence for people that names the bad value.
-        ran: Whether the work happened; `NO` only when it is provable.
-        retry_after_s: Seconds after which another try can help, if any.
+        ran: Whether the request ran; `NO` only if that is proved.
+        retry_after_s: Seconds after which a retry can succeed, if any.
     """
 
     code: ErrorCode
@@ -98,9 +98,9 @@
 
     @property
     def http_status(self) -> int:
-        """Return the HTTP status that carries this failure."""
+        """Return the HTTP status of this failure."""
         return HTTP_STATUS[self.code]
 
 
 class BrokenInvariantError(Exception):
-    """A fault of the program itself; the process stops on it."""
+    """A defect of the program; the process stops when it is raised."""
--- a/src/_coltsfootroad/core/hosts.py
+++ b/src/_coltsfootroad/core/interfaces.py
@@ -1,8 +1,8 @@
-"""What each part of an entry's core needs from the others.
+"""Interfaces between the components of the entry core.
 
-The parts work on the same flights and endpoints and call each other. Each
-names here what it needs, and the entry gives it that; no part imports the
-entry or a part that calls it.
+The components share flights and endpoints and call each other. The interfaces
+declare what each component provides and needs, so that no component imports the
+entry or a component that calls it.
 """
 
 import abc
@@ -27,14 +27,14 @@
 from _coltsfootroad.core import retries
 
 
-class Host(abc.ABC):
-    """What all parts share: requests in progress and endpoints known.
+class CoreContext(abc.ABC):
+    """State that all components share.
 
     Attributes:
-        flights: Requests in progress.
-        pools: Endpoints by service.
-        endpoint_service: Service of each endpoint.
-        out: Actions that the shell has to carry out.
+        flights: Requests in flight.
+        pools: Known endpoints by service.
+        endpoint_service: Service of each known endpoint.
+        out: Actions that the shell has to perform.
     """
 
     flights: flights_lib.FlightTable
@@ -44,47 +44,47 @@
 
     @abc.abstractmethod
     def pool(self, service: str) -> pool_lib.ServicePool:
-        """Return the pool of a service, made on first use."""
+        """Return the pool of a service, created on first use."""
 
     @abc.abstractmethod
     def view(self, endpoint: str) -> endpoints.EndpointView | None:
         """Return the view of a known endpoint."""
 
 
-class Dispatching(abc.ABC):
-    """Queues, and sends what may go."""
+class DispatcherInterface(abc.ABC):
+    """Queues requests and sends them to endpoints."""
 
     @abc.abstractmethod
     def queue(self, service: str) -> fairqueue.FairQueue:
-        """Return the queue of a service, made on first use."""
+        """Return the queue of a service, created on first use."""
 
     @abc.abstractmethod
-    def pump(self, service: str, now: float) -> None:
-        """Dispatch whatever can go now."""
+    def dispatch_queued(self, service: str, now: float) -> None:
+        """Dispatch queued requests of a service."""
 
     @abc.abstractmethod
     def release_group(self, flight: flights_lib.Flight) -> None:
-        """Give back the engines that were reserved for a request."""
+        """Release the engines that were reserved for a request."""
 
 
-class Ending(abc.ABC):
-    """Follows attempts to their ends."""
+class AttemptsInterface(abc.ABC):
+    """Handles attempts from their dispatch to the end of the request."""
 
     @abc.abstractmethod
-    def running(
+    def running_flight(
         self, request_id: str, attempt: int
     ) -> flights_lib.Flight | None:
-        """Return the flight of an attempt that is still under way."""
+        """Return the flight whose current attempt this is, if it is running."""
 
     @abc.abstractmethod
-    def attempt_failed(
+    def handle_failed_attempt(
         self,
         flight: flights_lib.Flight,
         endpoint: str,
         fault: faults.Fault,
         now: float,
     ) -> None:
-        """Retry a failed attempt or end its request."""
+        """Retry a failed attempt or fail its request."""
 
     @abc.abstractmethod
     def fail(
@@ -94,19 +94,19 @@
 
     @abc.abstractmethod
     def end(self, flight: flights_lib.Flight, used: int, now: float) -> None:
-        """Forget a request; `used` tokens were written for it."""
+        """Remove a request for which `used` output tokens were generated."""
 
 
-class Hurrying(abc.ABC):
-    """Talks to the leader."""
+class SyncInterface(abc.ABC):
+    """Exchanges heartbeats with the leader."""
 
     @abc.abstractmethod
     def request_heartbeat(self, now: float) -> None:
-        """Ask for a heartbeat before its time."""
+        """Request that the next heartbeat is sent early."""
 
 
-class Following(abc.ABC):
-    """Follows what endpoints and the leader say of endpoints."""
+class RosterInterface(abc.ABC):
+    """Tracks endpoints by announcements and load reports."""
 
     @abc.abstractmethod
     def take_announcement(
@@ -116,55 +116,55 @@
 
     @abc.abstractmethod
     def take_load(self, report: endpoints.LoadReport, now: float) -> None:
-        """Take an endpoint's load report."""
+        """Handle an endpoint's load report."""
 
     @abc.abstractmethod
     def expire_endpoint(self, name: str, now: float) -> None:
-        """Stop using an endpoint whose lease has ended."""
+        """Stop using an endpoint whose lease has expired."""
 
     @abc.abstractmethod
     def drop_expired(self, now: float) -> None:
-        """Forget expired endpoints on which nothing runs."""
+        """Remove expired endpoints on which no attempt runs."""
 
 
-class AttemptHost(Host):
-    """What follows attempts needs."""
+class AttemptContext(CoreContext):
+    """State that the attempts component needs."""
 
     rng: random.Random
     budget: retries.RetryBudget
     counters: counters_lib.Counters
     limits: limits_lib.LimitTable
     releaser: releases.Releaser
-    dispatcher: Dispatching
+    dispatcher: DispatcherInterface
 
     @abc.abstractmethod
     def output_share(self, service: str) -> admission.OutputShare:
         """Return what is learned of a service's output lengths."""
 
 
-class ClaimHost(Host):
-    """What takes claims needs."""
+class ClaimContext(CoreContext):
+    """State that claiming needs."""
 
     counters: counters_lib.Counters
-    attempts: Ending
+    attempts: AttemptsInterface
 
     @abc.abstractmethod
     def enqueue(self, flight: flights_lib.Flight, now: float) -> None:
-        """Put a flight into its queue and try to dispatch at once."""
+        """Add a flight to its queue and try to dispatch it at once."""
 
 
-class DispatchHost(Host):
-    """What queues and sends needs."""
+class DispatchContext(CoreContext):
+    """State that the dispatcher needs."""
 
     limits: limits_lib.LimitTable
-    attempts: Ending
-    syncing: Hurrying
+    attempts: AttemptsInterface
+    syncing: SyncInterface
     make_policy: Callable[[config_lib.Service], policies.Policy]
 
     @property
     @abc.abstractmethod
     def owner(self) -> str:
-        """Return the name under which engines hold memory for us."""
+        """Return the name under which engines hold memory for this entry."""
 
     @property
     @abc.abstractmethod
@@ -176,24 +176,24 @@
         """Return what is learned of a service's output lengths."""
 
 
-class RosterHost(Host):
-    """What follows endpoints needs."""
+class RosterContext(CoreContext):
+    """State that the roster of endpoints needs."""
 
     freshness: freshness_lib.Freshness
     releaser: releases.Releaser
-    attempts: Ending
-    dispatcher: Dispatching
+    attempts: AttemptsInterface
+    dispatcher: DispatcherInterface
 
 
-class SyncHost(Host):
-    """What talks to the leader needs."""
+class SyncContext(CoreContext):
+    """State that the heartbeats need."""
 
     entry: str
     draining: bool
     freshness: freshness_lib.Freshness
     limits: limits_lib.LimitTable
-    roster: Following
+    roster: RosterInterface
 
     @abc.abstractmethod
-    def pump_all(self, now: float) -> None:
-        """Dispatch whatever can go now, for every service."""
+    def dispatch_all_queued(self, now: float) -> None:
+        """Dispatch queued requests of every service."""
--- a/src/_coltsfootroad/core/loadindex.py
+++ b/src/_coltsfootroad/core/loadindex.py
@@ -25,7 +25,7 @@
         counted_version: Version at which `prefilling` was counted.
     """
 
-    works: dict[WorkKey, work_lib.Work] = attrs.Factory(dict)
+    works: dict[WorkKey, work_lib.WorkItem] = attrs.Factory(dict)
     version: int = 0
     prefilling: int = 0
     counted_version: int = -1
@@ -64,19 +64,19 @@
         """Return the work at an endpoint; callers must not modify it."""
         return self.loads.get(endpoint, NO_LOAD)
 
-    def put(self, key: WorkKey, work: work_lib.Work) -> None:
+    def put(self, key: WorkKey, work: work_lib.WorkItem) -> None:
         """Add or update a work item."""
         load = self.loads.get(work.endpoint)
         if load is None:
             load = self.loads[work.endpoint] = EndpointLoad()
         load.works[key] = work
         self.bump_version(load)
-        if work.waits_late:
+        if work.is_late_waiting:
             self.late.setdefault(work.endpoint, set()).add(key)
         else:
             self.remove_late(key, work.endpoint)
 
-    def drop(self, key: WorkKey, work: work_lib.Work) -> None:
+    def drop(self, key: WorkKey, work: work_lib.WorkItem) -> None:
         """Remove a work item."""
         load = self.loads.get(work.endpoint)
         if load is None or load.works.pop(key, None) is None:
--- a/src/_coltsfootroad/core/syncing.py
+++ b/src/_coltsfootroad/core/syncing.py
@@ -7,7 +7,7 @@
 from _coltsfootroad.core import addresses
 from _coltsfootroad.core import config as config_lib
 from _coltsfootroad.core import endpoints
-from _coltsfootroad.core import hosts
+from _coltsfootroad.core import interfaces
 from _coltsfootroad.core import registry
 
 # Shortest time between two early heartbeats.
@@ -16,7 +16,7 @@
 
 
 @attrs.define
-class EntrySync(hosts.Hurrying):
+class EntrySync(interfaces.SyncInterface):
     """The part of the entry core that exchanges heartbeats with the leader.
 
     Attributes:
@@ -27,7 +27,7 @@
         reported: Load reports that the leader has not confirmed.
     """
 
-    core: hosts.SyncHost
+    core: interfaces.SyncContext
     wants_sync: bool = False
     early_heartbeat_at: float = float("-inf")
     registry_epoch: str = ""
@@ -117,7 +117,7 @@
                 attrs.evolve(aged.report, measured_at=now - aged.age_s), now
             )
         self.apply_group_holds(reply.group_holds)
-        self.core.pump_all(now)
+        self.core.dispatch_all_queued(now)
 
     def adopt_config(self, update: messages.ConfigUpdate | None) -> bool:
         """Apply an update; return whether the newest version is in force."""
--- a/src/_coltsfootroad/gateway/exchange.py
+++ b/src/_coltsfootroad/gateway/exchange.py
@@ -9,7 +9,7 @@
 from _coltsfootroad.core import routes
 from _coltsfootroad.core import sends as sends_lib
 from _coltsfootroad.core import shedding
-from _coltsfootroad.core import startshare
+from _coltsfootroad.core import startuplimit
 from _coltsfootroad.core import urgency
 from _coltsfootroad.gateway import admission
 from _coltsfootroad.gateway import answers
@@ -55,7 +55,7 @@
     request: admission.CallerRequest
     request_id: str = ""
     admitted: admission.Admitted | None = None
-    sends: sends_lib.Sends | None = None
+    sends: sends_lib.SendHistory | None = None
     fault: answers.HeldAnswer | None = None
     tickets: tickets_lib.TicketSet | None = None
     guard: contentguard.ContentGuard = attrs.field(init=False)
@@ -121,7 +121,7 @@
             self.reply.refuse(found.error.failure, found.error.route)
             return
         self.admitted = found.ok
-        self.sends = sends_lib.Sends(
+        self.sends = sends_lib.SendHistory(
             attempts=self.route.attempts, idempotent=self.route.idempotent
         )
         await start_up.wait(
@@ -151,7 +151,7 @@
         if self.admitted.prompt is None:
             return choice.load < choice.endpoint.announcement.max_running
         gateways = len(self.gateway.view.rotation.current())
-        if self.gateway.load.own_prompts() >= startshare.allowed(
+        if self.gateway.load.count_own_prompts() >= startuplimit.max_prompts(
             choice.places, gateways
         ):
             return False
@@ -170,7 +170,7 @@
             if choice is None:
                 self.give_up(reason or "no endpoint serves the request now")
                 return
-            again_s = self.come_back_s(choice)
+            again_s = self.shed_retry_after_s(choice)
             if again_s is not None:
                 self.turn_away(choice, again_s)
                 return
@@ -191,9 +191,9 @@
     def rank(self, choice: engines.Choice, now: float) -> int:
         """Return the rank of a send at its engine."""
         waited_s = now - self.request.arrived_at
-        return urgency.of(self.route, waited_s, choice.predicted_s)
+        return urgency.engine_rank(self.route, waited_s, choice.predicted_s)
 
-    def come_back_s(self, choice: engines.Choice) -> float | None:
+    def shed_retry_after_s(self, choice: engines.Choice) -> float | None:
         """Return when to come back if the request is not to be sent now."""
         prompt = self.admitted.prompt
         if prompt is None or self.sends.count:
@@ -202,9 +202,9 @@
             prompt_tokens=prompt.prompt_tokens,
             predicted_s=choice.predicted_s,
             target_s=prompt.target_s,
-            returned=self.admitted.returned,
+            is_retry=self.admitted.is_retry,
         )
-        return shedding.come_back_s(
+        return shedding.shed_retry_after_s(
             candidate, choice.late_waiting, choice.places, self.gateway.rng
         )
 
@@ -257,13 +257,13 @@
             self.guard.send_timeout = None
             watchdog.stop()
 
-    def may_switch(self) -> bool:
+    def may_fail_over(self) -> bool:
         """Return whether another endpoint takes over from a silent one.
 
         The retry is reserved at once: a send that is given up without one
         would cut off an answer that may only be slow.
         """
-        if self.guard.on_trial or not self.sends.may_switch():
+        if self.guard.on_trial or not self.sends.may_fail_over():
             return False
         now = clocks.boot_time()
         if self.unfit_reason(now) or not self.has_untried(now):
--- a/src/_coltsfootroad/gateway/ownwork.py
+++ b/src/_coltsfootroad/gateway/ownwork.py
@@ -30,7 +30,7 @@
         held = {share.endpoint.name: share.tokens for share in choice.shares}
         known = (choice.endpoint, *choice.helpers)
         for place, endpoint in enumerate(known):
-            work = work_lib.Work(endpoint=endpoint.name, sent_at=now)
+            work = work_lib.WorkItem(endpoint=endpoint.name, sent_at=now)
             work.leads = place == 0
             work.kv_tokens = held.get(endpoint.name, 0)
             if prompt is not None:
@@ -61,18 +61,21 @@
         if not work.writing:
             for key in self.keys:
                 load.own[key].writing = True
-                load.touch(key)
+                load.mark_changed(key)
             self.gateway.tell_peers()
             return True
         if pause_s > work.gap_target_s > 0:
             # Late already; nothing more is lost by further pauses.
             work.gap_target_s = 0.0
-            load.touch(self.keys[0])
+            load.mark_changed(self.keys[0])
         return False
 
 
 def describe(
-    work: work_lib.Work, prompt: engineplacement.Prompt, parts: int, late: bool
+    work: work_lib.WorkItem,
+    prompt: engineplacement.Prompt,
+    parts: int,
+    late: bool,
 ) -> None:
     """Say what a prompt is at one of the endpoints that read it."""
     work.prompt_tokens = prompt.prompt_tokens
