--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -14,7 +14,7 @@
 from tornado import curl_httpclient
 
 from _coltsfootroad.control import configstore
-from _coltsfootroad.control import hub as hub_lib
+from _coltsfootroad.control import coordinator as coordinator_lib
 from _coltsfootroad.control import messages
 from _coltsfootroad.control import node as node_lib
 from _coltsfootroad.control import replicas
@@ -99,7 +99,9 @@
 # --- control -------------------------------------------------------------------
 
 
-def make_hub(entries: int, servers: int, workspaces: int) -> hub_lib.Hub:
+def make_coordinator(
+    entries: int, servers: int, workspaces: int
+) -> coordinator_lib.Coordinator:
     """Return a hub that knows a fleet."""
     state = state_lib.ControlState()
     document = {
@@ -115,12 +117,12 @@
         ),
         0.0,
     )
-    hub = hub_lib.Hub("e", state, started_at=-100.0)
+    coordinator = coordinator_lib.Coordinator("e", state, started_at=-100.0)
     for number in range(entries):
-        hub.take_member(make_member(number), 0.0)
+        coordinator.update_member(make_member(number), 0.0)
     for number in range(servers):
-        hub.take_announcement(make_announcement(number, 1), 0.0)
-    return hub
+        coordinator.record_announcement(make_announcement(number, 1), 0.0)
+    return coordinator
 
 
 def make_member(number: int) -> addresses.Member:
@@ -160,12 +162,12 @@
         (520, 170, 10),
         (9, 17, 310),
     ):
-        hub = make_hub(entries, servers, workspaces)
+        coordinator = make_coordinator(entries, servers, workspaces)
         label = f"{entries} entries, {servers} servers, {workspaces} workspaces"
-        measure_heartbeat(hub, label, servers, entries, workspaces)
+        measure_heartbeat(coordinator, label, servers, entries, workspaces)
 
 
-def measure_heartbeat(hub, label, servers, entries, workspaces) -> None:
+def measure_heartbeat(coordinator, label, servers, entries, workspaces) -> None:
     """Measure one entry's heartbeat in a second of reports."""
     share = max(1, servers // entries)
     sequence = [1]
@@ -175,8 +177,8 @@
         sequence[0] += 1
         for number in range(servers):
             load = make_load(number, sequence[0])
-            hub.take_load(load.report, 0.0)
-        mark = hub.last_mark
+            coordinator.record_load(load.report, 0.0)
+        mark = coordinator.last_revision
         request = messages.SyncRequest(
             member=make_member(0),
             config_version=1,
@@ -189,7 +191,7 @@
             ),
         )
         data = wirecalls.CALLS.encode(request)
-        reply = hub.on_sync(wirecalls.CALLS.decode(data).ok, 0.0)
+        reply = coordinator.on_sync(wirecalls.CALLS.decode(data).ok, 0.0)
         answer = wirecalls.CALLS.encode(reply)
         wirecalls.CALLS.decode(answer)
         sizes[:] = [len(data), len(answer)]
@@ -202,8 +204,8 @@
 def config_cost() -> None:
     """Measure a patch and its delta against the number of workspaces."""
     for workspaces in (10, 310):
-        hub = make_hub(1, 1, workspaces)
-        store = hub.state.configs
+        coordinator = make_coordinator(1, 1, workspaces)
+        store = coordinator.state.configs
         number = [0]
 
         def patch(s=store, n=number) -> None:
--- a/features/steps/backlog_steps.py
+++ b/features/steps/backlog_steps.py
@@ -5,7 +5,7 @@
 from behave import then
 from behave import when
 
-from _coltsfootroad.control import mirror as mirror_lib
+from _coltsfootroad.control import watchcache
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import registry
 from _coltsfootroad.gateway import watch as watch_lib
@@ -38,16 +38,16 @@
     """A relay whose leader lacks endpoints."""
 
     def __init__(self, count: int):
-        self.mirror = mirror_lib.Mirror(RELAY)
-        self.mirror.backlog.add_all(announcement(n) for n in range(count))
+        self.watch_cache = watchcache.WatchCache(RELAY)
+        self.watch_cache.backlog.add_all(announcement(n) for n in range(count))
 
     def request(self) -> watching.RelayWatch:
         """Return the next request."""
-        return self.mirror.question(NOW_S, 0.0)
+        return self.watch_cache.next_request(NOW_S, 0.0)
 
     def receive(self, request, news) -> None:
         """Take the response to a request."""
-        self.mirror.take(request, news, NOW_S, NOW_S)
+        self.watch_cache.apply_response(request, news, NOW_S, NOW_S)
 
 
 class GatewaySubject:
@@ -107,7 +107,7 @@
 def announced_again(context):
     request = context.subject.request()
     context.later = attrs.evolve(request.announcements[0], seq=2)
-    context.subject.mirror.backlog.add(context.later)
+    context.subject.watch_cache.backlog.add(context.later)
     context.subject.receive(request, response())
 
 
--- a/features/steps/controlquarantine_steps.py
+++ b/features/steps/controlquarantine_steps.py
@@ -200,8 +200,8 @@
 
 @then("the leader publishes it")
 def publishes(context):
-    hub = context.site.leader().node.hub
-    published = hub.book.quarantined.values()
+    coordinator = context.site.leader().node.coordinator
+    published = coordinator.fleet_state.quarantined.values()
     assert [entry.fingerprint for entry in published] == [
         ledgerpatterns.print_of("poison")
     ]
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -8,7 +8,7 @@
 from behave import given
 from behave import then
 
-from _coltsfootroad.control import hub as hub_lib
+from _coltsfootroad.control import coordinator as coordinator_lib
 from _coltsfootroad.control import state as state_lib
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import addresses
@@ -186,12 +186,14 @@
 
 @given("a leader that hears of a {who}")
 def leader_hears(context, who):
-    hub = hub_lib.Hub(epoch="e", state=state_lib.ControlState(), started_at=0.0)
+    coordinator = coordinator_lib.Coordinator(
+        epoch="e", state=state_lib.ControlState(), started_at=0.0
+    )
     member = addresses.Member(entry="g1", incarnation=1, address="127.0.0.1:1")
     announcement = registry.Announcement(
         endpoint="e1", incarnation=1, seq=1, service="s"
     )
-    hub.on_watch(
+    coordinator.on_watch(
         watching.Watch(
             member=member,
             routes_version=-1,
@@ -200,18 +202,18 @@
         ),
         0.0,
     )
-    context.hub = hub
+    context.coordinator = coordinator
     context.known = {
-        "gateway": lambda: "g1" in hub.members,
-        "endpoint": lambda: "e1" in hub.registry.registrations,
+        "gateway": lambda: "g1" in coordinator.members,
+        "endpoint": lambda: "e1" in coordinator.registry.registrations,
     }[who]
 
 
 @then("it is known for {known:g} s and dropped after {dropped:g} s")
 def dropped_after(context, known, dropped):
-    context.hub.expire(known)
+    context.coordinator.expire(known)
     assert context.known()
-    context.hub.expire(dropped)
+    context.coordinator.expire(dropped)
     assert not context.known()
 
 
--- a/features/steps/proofs_steps.py
+++ b/features/steps/proofs_steps.py
@@ -7,7 +7,7 @@
 from behave import then
 from behave import when
 
-from _coltsfootroad.control import mirror as mirror_lib
+from _coltsfootroad.control import watchcache
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import addresses
 from _coltsfootroad.core import routedelta
@@ -76,29 +76,31 @@
     """A relay, as far as it follows the version in force."""
 
     def __init__(self, held: int):
-        self.mirror = mirror_lib.Mirror(RELAY)
+        self.watch_cache = watchcache.WatchCache(RELAY)
         if held != NONE:
-            self.mirror.routes.adopt(gatewaybed.config(held))
+            self.watch_cache.routes.adopt(gatewaybed.config(held))
 
     def receive(self, asked: int, news: watching.News) -> None:
         """Take a response to a request that named a version."""
         request = watching.RelayWatch(relay=RELAY, routes_version=asked)
-        self.mirror.take(request, news, ASKED_AT_S, ASKED_AT_S + 0.01)
+        self.watch_cache.apply_response(
+            request, news, ASKED_AT_S, ASKED_AT_S + 0.01
+        )
 
     @property
     def version(self) -> int:
         """Return the version held."""
-        return self.mirror.routes.version
+        return self.watch_cache.routes.version
 
     @property
     def proved_at(self) -> float:
         """Return when the version held was surely current."""
-        return self.mirror.confirmed_at
+        return self.watch_cache.confirmed_at
 
     @property
     def asks_from(self) -> int:
         """Return the version that the next request names."""
-        return self.mirror.question(ASKED_AT_S, 0.0).routes_version
+        return self.watch_cache.next_request(ASKED_AT_S, 0.0).routes_version
 
 
 WATCHERS = {"gateway": GatewayWatcher, "relay": RelayWatcher}
@@ -190,9 +192,11 @@
     " attachment {attachment:d}"
 )
 def watched_relay(context, incarnation, attachment):
-    context.mirror = mirror_lib.Mirror(RELAY)
-    context.mirror.take_watcher(request(incarnation, attachment), ASKED_AT_S)
-    context.lease_end = context.mirror.watchers["g"].until
+    context.watch_cache = watchcache.WatchCache(RELAY)
+    context.watch_cache.renew_watcher(
+        request(incarnation, attachment), ASKED_AT_S
+    )
+    context.lease_end = context.watch_cache.watchers["g"].until
 
 
 @when(
@@ -201,7 +205,7 @@
 )
 def late_request(context, incarnation, attachment):
     late = request(incarnation, attachment)
-    context.mirror.take_watcher(late, ASKED_AT_S + 1.0)
+    context.watch_cache.renew_watcher(late, ASKED_AT_S + 1.0)
 
 
 @then(
@@ -209,18 +213,20 @@
     " {attachment:d} of gateway g"
 )
 def reports(context, incarnation, attachment):
-    (reported,) = context.mirror.question(ASKED_AT_S + 1.0, 0.0).attached
+    (reported,) = context.watch_cache.next_request(
+        ASKED_AT_S + 1.0, 0.0
+    ).attached
     assert reported.order == (incarnation, attachment), reported.order
 
 
 @then("the lease of gateway g is not renewed")
 def not_renewed(context):
-    assert context.mirror.watchers["g"].until == context.lease_end
+    assert context.watch_cache.watchers["g"].until == context.lease_end
 
 
 # --- defects -----------------------------------------------------------------
 
-RIGHT_STEP_DOWN = mirror_lib.Mirror.step_down
+RIGHT_STEP_DOWN = watchcache.WatchCache.step_down
 
 
 def proves_misfit(right):
@@ -233,9 +239,9 @@
     return take_routes
 
 
-def proves_stepping_down(self, heard_since, now):
+def proves_stepping_down(self, registry_since, now):
     """Count the version held as current at the end of the own term."""
-    RIGHT_STEP_DOWN(self, heard_since, now)
+    RIGHT_STEP_DOWN(self, registry_since, now)
     self.confirmed_at = now
 
 
@@ -244,8 +250,8 @@
     attached = watching.Attached(
         member=request.member, attachment=request.attachment
     )
-    self.unsent[request.member.entry] = attached
-    self.watchers[request.member.entry] = mirror_lib.Watcher(
+    self.unreported[request.member.entry] = attached
+    self.watchers[request.member.entry] = watchcache.Watcher(
         attached, now + request.wait_s
     )
 
@@ -267,17 +273,17 @@
 
 def check_late_request() -> None:
     """Check that a late request changes nothing."""
-    mirror = mirror_lib.Mirror(RELAY)
-    mirror.take_watcher(request(2, 3), ASKED_AT_S)
-    mirror.take_watcher(request(2, 2), ASKED_AT_S)
-    assert mirror.watchers["g"].attached.order == (2, 3)
+    watch_cache = watchcache.WatchCache(RELAY)
+    watch_cache.renew_watcher(request(2, 3), ASKED_AT_S)
+    watch_cache.renew_watcher(request(2, 2), ASKED_AT_S)
+    assert watch_cache.watchers["g"].attached.order == (2, 3)
 
 
 DEFECTS = {
     "a relay proves the version held when a delta does not fit": (
-        mirror_lib.Mirror,
-        "take_routes",
-        proves_misfit(mirror_lib.Mirror.take_routes),
+        watchcache.WatchCache,
+        "apply_routes",
+        proves_misfit(watchcache.WatchCache.apply_routes),
         lambda: check_misfit("relay"),
     ),
     "a gateway proves the version held when a delta does not fit": (
@@ -287,14 +293,14 @@
         lambda: check_misfit("gateway"),
     ),
     "a deposed leader proves its routes from when it stepped down": (
-        mirror_lib.Mirror,
+        watchcache.WatchCache,
         "step_down",
         proves_stepping_down,
         check_stepping_down,
     ),
     "a relay takes a request of an earlier attachment": (
-        mirror_lib.Mirror,
-        "take_watcher",
+        watchcache.WatchCache,
+        "renew_watcher",
         takes_any_watcher,
         check_late_request,
     ),
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -7,7 +7,7 @@
 from behave import when
 from hypothesis import Phase
 
-from _coltsfootroad.control import newsbook
+from _coltsfootroad.control import fleetstate
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import registry
 from features.support import relayhistories
@@ -198,10 +198,10 @@
 
 @given("a book of {count:d} endpoints")
 def book_of(context, count):
-    context.book = newsbook.NewsBook()
-    context.book.begin("e/1")
+    context.fleet_state = fleetstate.FleetState()
+    context.fleet_state.start_epoch("e/1")
     for number in range(count):
-        context.book.put_endpoint(
+        context.fleet_state.put_endpoint(
             registry.Announcement(
                 endpoint=f"e{number}", incarnation=1, seq=1, service="s"
             )
@@ -210,14 +210,14 @@
 
 @when("somebody who knows nothing asks and every second answer is lost")
 def asks_in_pages(context):
-    epoch, mark = "", 0
+    epoch, revision = "", 0
     context.known, context.sizes = set(), []
     for number in range(6):
-        page = context.book.page(epoch, mark)
+        page = context.fleet_state.page(epoch, revision)
         context.sizes.append(len(page.changes.announcements))
         if number % 2:
             continue
-        epoch, mark = page.epoch, page.registry_mark
+        epoch, revision = page.epoch, page.registry_mark
         context.known |= {a.endpoint for a in page.changes.announcements}
         assert page.changes.more == (len(context.known) < 1300)
 
@@ -269,5 +269,5 @@
 )
 def leader_knows(context, count, seconds):
     del seconds
-    registered = context.world.leader().hub.registry.registrations
+    registered = context.world.leader().coordinator.registry.registrations
     assert len(registered) == count, sorted(registered)
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -8,7 +8,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from _coltsfootroad.control import hub as hub_lib
+from _coltsfootroad.control import coordinator as coordinator_lib
 from _coltsfootroad.control import state as state_lib
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import addresses
@@ -38,7 +38,7 @@
 
     def __init__(self):
         self.now = 100.0
-        self.hub = new_hub(self.now)
+        self.coordinator = new_coordinator(self.now)
         self.endpoints = endpointset.EndpointSet()
         self.mark = 0
 
@@ -47,13 +47,15 @@
         if word.startswith("wait "):
             self.now += float(word.removeprefix("wait "))
         else:
-            self.hub.take_announcement(announcement(word), 8.0, self.now)
+            self.coordinator.record_announcement(
+                announcement(word), 8.0, self.now
+            )
             self.now += 1.0
         self.ask()
 
     def ask(self, brought: tuple = ()) -> None:
         """Let the gateway ask for news."""
-        news = watch(self.hub, self.now, self.mark, brought)
+        news = watch(self.coordinator, self.now, self.mark, brought)
         self.mark = news.registry_mark
         for found in news.changes.announcements:
             self.endpoints.learn(found, self.now)
@@ -64,30 +66,34 @@
 
     def used(self) -> tuple[bool, bool]:
         """Return whether the endpoint is used, there and here."""
-        return is_used(self.hub), bool(self.endpoints.of_service(SERVICE))
+        return is_used(self.coordinator), bool(
+            self.endpoints.of_service(SERVICE)
+        )
 
 
-def new_hub(now: float) -> hub_lib.Hub:
+def new_coordinator(now: float) -> coordinator_lib.Coordinator:
     """Return the soft state of a new leader."""
-    return hub_lib.Hub("epoch", state_lib.ControlState(), now)
+    return coordinator_lib.Coordinator("epoch", state_lib.ControlState(), now)
 
 
-def watch(hub, now: float, mark: int, brought: tuple = ()) -> watching.News:
+def watch(
+    coordinator, now: float, mark: int, brought: tuple = ()
+) -> watching.News:
     """Return the news since a mark."""
     question = watching.Watch(
         member=MEMBER,
         routes_version=-1,
-        epoch=hub.epoch,
+        epoch=coordinator.epoch,
         registry_mark=mark,
         announcements=brought,
         wait_s=0.0,
     )
-    return hub.on_watch(question, now)
+    return coordinator.on_watch(question, now)
 
 
-def is_used(hub: hub_lib.Hub) -> bool:
+def is_used(coordinator: coordinator_lib.Coordinator) -> bool:
     """Return whether a leader tells of the endpoint as serving."""
-    known = hub.registry.registrations.get(NAME)
+    known = coordinator.registry.registrations.get(NAME)
     serving = registry.EndpointState.SERVING
     return known is not None and known.announcement.state is serving
 
@@ -118,13 +124,16 @@
 @then("the endpoint is {state} at the leader and at a gateway")
 def is_known_as(context, state):
     wanted = state == "used"
-    assert context.heard.used() == (wanted, wanted), context.heard.hub.registry
+    assert context.heard.used() == (
+        wanted,
+        wanted,
+    ), context.heard.coordinator.registry
 
 
 @when("another leader hears {word} late and then the gateway")
 def other_leader(context, word):
-    context.other = new_hub(200.0)
-    context.other.take_announcement(announcement(word), 8.0, 200.0)
+    context.other = new_coordinator(200.0)
+    context.other.record_announcement(announcement(word), 8.0, 200.0)
     brought = context.heard.endpoints.everything()
     watch(context.other, 200.1, 0, brought)
 
--- a/features/steps/timers_steps.py
+++ b/features/steps/timers_steps.py
@@ -33,7 +33,7 @@
         self.due = due
         self.ticks = 0
         self.forward_to = due
-        self.hub = None
+        self.coordinator = None
 
     def tick(self, _now):
         """Count a timer."""
--- a/features/steps/watch_steps.py
+++ b/features/steps/watch_steps.py
@@ -7,7 +7,7 @@
 from behave import then
 from behave import when
 
-from _coltsfootroad.control import hub as hub_lib
+from _coltsfootroad.control import coordinator as coordinator_lib
 from _coltsfootroad.control import membership as membership_lib
 from _coltsfootroad.control import messages
 from _coltsfootroad.control import node as node_lib
@@ -38,14 +38,19 @@
     )
 
 
-def watch(hub: hub_lib.Hub, now: float, mark: int = 0, brought=()):
+def watch(
+    coordinator: coordinator_lib.Coordinator,
+    now: float,
+    revision: int = 0,
+    brought=(),
+):
     """Return what a gateway learns."""
-    return hub.on_watch(
+    return coordinator.on_watch(
         watching.Watch(
             member=MEMBER,
             routes_version=-1,
-            epoch=hub.epoch,
-            registry_mark=mark,
+            epoch=coordinator.epoch,
+            registry_mark=revision,
             announcements=tuple(brought),
         ),
         now,
@@ -79,21 +84,23 @@
 
 
 @given('a hub that knows endpoints "{first}" and "{second}"')
-def hub_knows(context, first, second):
-    hub_knows_nothing(context)
+def coordinator_knows(context, first, second):
+    coordinator_knows_nothing(context)
     for name in (first, second):
-        context.hub.take_announcement(announcement(name), 8.0, START)
-    context.mark = watch(context.hub, START).registry_mark
+        context.coordinator.record_announcement(announcement(name), 8.0, START)
+    context.revision = watch(context.coordinator, START).registry_mark
 
 
 @given("a hub that knows nothing")
-def hub_knows_nothing(context):
-    context.hub = hub_lib.Hub("epoch", state_lib.ControlState(), START)
+def coordinator_knows_nothing(context):
+    context.coordinator = coordinator_lib.Coordinator(
+        "epoch", state_lib.ControlState(), START
+    )
 
 
 @when('"{left}" signs off and "{silent}" is silent for {seconds:g} s')
 def signs_off(context, left, silent, seconds):
-    context.hub.take_announcement(
+    context.coordinator.record_announcement(
         announcement(left, 2**62, "gone"), 8.0, START + 1
     )
     context.now = START + seconds
@@ -101,34 +108,36 @@
 
 @then('a watch since then names "{left}" as left and "{silent}" as gone')
 def names(context, left, silent):
-    news = watch(context.hub, context.now, context.mark)
+    news = watch(context.coordinator, context.now, context.revision)
     assert [word.endpoint for word in news.changes.left] == [left], news
     assert news.changes.gone == (silent,), news
 
 
 @when('"{left}" signs off and its earlier heartbeat comes late')
 def late(context, left):
-    hub = context.hub
-    hub.take_announcement(announcement(left, 2**62, "gone"), 8.0, START)
-    hub.take_announcement(announcement(left, 2), 8.0, START + 1)
+    coordinator = context.coordinator
+    coordinator.record_announcement(
+        announcement(left, 2**62, "gone"), 8.0, START
+    )
+    coordinator.record_announcement(announcement(left, 2), 8.0, START + 1)
 
 
 @then('a new watch does not name "{left}"')
 def not_named(context, left):
-    news = watch(context.hub, START + 2)
+    news = watch(context.coordinator, START + 2)
     assert left not in [a.endpoint for a in news.changes.announcements], news
 
 
 @when("a gateway watches and brings along an endpoint and a tombstone")
 def brings(context):
     brought = (announcement("alive", 7), announcement("dead", 0, "gone"))
-    watch(context.hub, START, brought=brought)
+    watch(context.coordinator, START, brought=brought)
 
 
 @then("the hub knows the endpoint, and a late heartbeat revives no other")
 def knows(context):
-    context.hub.take_announcement(announcement("dead", 9), 8.0, START)
-    assert list(context.hub.registry.registrations) == ["alive"]
+    context.coordinator.record_announcement(announcement("dead", 9), 8.0, START)
+    assert list(context.coordinator.registry.registrations) == ["alive"]
 
 
 @when("the process at the other end of a peer link restarts")
--- a/features/support/crashhistories.py
+++ b/features/support/crashhistories.py
@@ -9,8 +9,8 @@
 
 import attrs
 
+from _coltsfootroad.control import coordinator
 from _coltsfootroad.control import crashreports
-from _coltsfootroad.control import hub
 from _coltsfootroad.core import crashledger
 from _coltsfootroad.core import fingerprints
 from _coltsfootroad.core import isolation
@@ -125,8 +125,8 @@
     """Let a replica that knows nothing lead."""
     world.lose_leader(0.6)
     for process in world.processes.values():
-        process.mirror.copied_at = float("-inf")
-        process.mirror.book.clear()
+        process.watch_cache.synced_at = float("-inf")
+        process.watch_cache.fleet_state.clear()
 
 
 async def follow_one(world):
@@ -391,7 +391,7 @@
 
 REPORTS = itertools.count(2)
 RIGHT_RECORD = crashledger.CrashLedger.record
-RIGHT_PUBLISH = hub.Hub.publish_quarantine
+RIGHT_PUBLISH = coordinator.Coordinator.publish_quarantine
 RIGHT_LEARN = quarantine.QuarantineView.learn
 DEFECTS = {
     "the fingerprint leaves out the body": (
@@ -425,7 +425,7 @@
         lambda: answered_between_crashes(1),
     ),
     "suspects are not published": (
-        (hub.Hub, "publish_suspects", lambda self: None),
+        (coordinator.Coordinator, "publish_suspects", lambda self: None),
         lambda: answered_between_crashes(2),
     ),
     "suspects are sent to the same engines": (
@@ -437,7 +437,7 @@
         lambda: answered_between_crashes(2),
     ),
     "nothing is published": (
-        (hub.Hub, "publish_quarantine", lambda self, now: None),
+        (coordinator.Coordinator, "publish_quarantine", lambda self, now: None),
         lambda: poison_beside("nothing"),
     ),
     "later gateways learn nothing": (
@@ -445,7 +445,7 @@
         lambda: poison_beside("a cold restart of all gateways"),
     ),
     "a new leader publishes changes only": (
-        (hub.Hub, "publish_quarantine", tells_changes_only),
+        (coordinator.Coordinator, "publish_quarantine", tells_changes_only),
         lambda: poison_beside("a new leader without a copy"),
     ),
     "no trial is ever due": (
--- a/features/support/crashworld.py
+++ b/features/support/crashworld.py
@@ -226,7 +226,7 @@
             address=engine.address,
             state=state,
         )
-        leader.hub.take_announcement(announcement, 8.0, self.now)
+        leader.coordinator.record_announcement(announcement, 8.0, self.now)
         leader.desk.wake()
 
     async def run_at(self, engine: Engine, body: bytes) -> None:
@@ -367,7 +367,7 @@
             for gateway in world.gateways.values():
                 gatewaybed.settle_share(gateway, 1 / gateways)
             # It has led for as long as the gateways have run.
-            world.leader().hub.retry_lender.started_at = float("-inf")
+            world.leader().coordinator.retry_lender.started_at = float("-inf")
             try:
                 yield world, loop.run_until_complete
             finally:
--- a/features/support/histories.py
+++ b/features/support/histories.py
@@ -268,7 +268,7 @@
     wait(machine, 4.0)
     assert record.finished, record
     assert (
-        not machine.world.control.hub.groups.holds
+        not machine.world.control.coordinator.groups.holds
     ), "a group outlived its request"
 
 
--- a/features/support/relayhistories.py
+++ b/features/support/relayhistories.py
@@ -9,9 +9,9 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from _coltsfootroad.control import hub as hub_lib
-from _coltsfootroad.control import mirror as mirror_lib
+from _coltsfootroad.control import coordinator as coordinator_lib
 from _coltsfootroad.control import outcomes
+from _coltsfootroad.control import watchcache
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import registry
 from _coltsfootroad.core import relaychoice
@@ -249,10 +249,10 @@
 
 # --- directed histories and defects -------------------------------------------
 
-RIGHT_ON_WATCH = mirror_lib.Mirror.on_watch
-RIGHT_TAKE = mirror_lib.Mirror.take
+RIGHT_ON_WATCH = watchcache.WatchCache.on_watch
+RIGHT_TAKE = watchcache.WatchCache.apply_response
 RIGHT_ANSWER = watchdesk.WatchDesk.answer_now
-RIGHT_TAKE_OVER = hub_lib.Hub.take_over
+RIGHT_TAKE_OVER = coordinator_lib.Coordinator.take_over
 
 
 def dates_anew(self, request, now):
@@ -273,9 +273,11 @@
     answer = await RIGHT_ANSWER(self, question)
     is_relay = isinstance(question, watching.RelayWatch)
     if is_relay and isinstance(answer, outcomes.NotLeader):
-        if not self.mirror.book.epoch:
+        if not self.watch_cache.fleet_state.epoch:
             return answer
-        return self.mirror.book.page(question.epoch, question.registry_mark)
+        return self.watch_cache.fleet_state.page(
+            question.epoch, question.registry_mark
+        )
     return answer
 
 
@@ -284,26 +286,28 @@
     member = attached.member
     known = self.members.get(member.entry)
     if known is None or known.member != member:
-        self.book.put_member(member)
-    self.members[member.entry] = hub_lib.LiveMember(attached, until, relay)
+        self.fleet_state.put_member(member)
+    self.members[member.entry] = coordinator_lib.LiveMember(
+        attached, until, relay
+    )
 
 
 def keeps_members_for_ever(self):
     """Give no lease to what was taken over."""
     RIGHT_TAKE_OVER(self)
     for live in self.members.values():
-        live.until = hub_lib.NEVER
+        live.until = coordinator_lib.NEVER
 
 
 DEFECTS = {
     "a relay dates the proof anew": (
-        mirror_lib.Mirror,
+        watchcache.WatchCache,
         "on_watch",
         dates_anew,
     ),
     "a relay dates the proof when the answer comes": (
-        mirror_lib.Mirror,
-        "take",
+        watchcache.WatchCache,
+        "apply_response",
         dates_late,
     ),
     "relays answer each other's questions": (
@@ -312,12 +316,12 @@
         answers_relays,
     ),
     "a late report of a gateway that moved counts": (
-        hub_lib.Hub,
-        "take_member",
+        coordinator_lib.Coordinator,
+        "update_member",
         counts_late_reports,
     ),
     "a leader that takes over tells nobody of lost ones": (
-        hub_lib.Hub,
+        coordinator_lib.Coordinator,
         "take_over",
         keeps_members_for_ever,
     ),
@@ -395,12 +399,12 @@
             # It asks a process of zone zb, none of which leads.
             member = world.gateways["gw-1"].watch.member()
             earlier = watching.Attached(member=member, attachment=0)
-            relay = world.processes["relay-2"].mirror.relay
-            leader.hub.on_relay_watch(
+            relay = world.processes["relay-2"].watch_cache.relay
+            leader.coordinator.on_relay_watch(
                 watching.RelayWatch(relay=relay, attached=(earlier,)),
                 world.now,
             )
-            leader.hub.on_relay_watch(
+            leader.coordinator.on_relay_watch(
                 watching.RelayWatch(relay=relay, detached=("gw-1",)),
                 world.now,
             )
--- a/features/support/relayworld.py
+++ b/features/support/relayworld.py
@@ -14,13 +14,13 @@
 from expression import Error
 from expression import Ok
 
+from _coltsfootroad.control import coordinator as coordinator_lib
 from _coltsfootroad.control import crashreports
-from _coltsfootroad.control import hub as hub_lib
 from _coltsfootroad.control import messages
-from _coltsfootroad.control import mirror as mirror_lib
 from _coltsfootroad.control import outcomes
 from _coltsfootroad.control import retrylending
 from _coltsfootroad.control import state as state_lib
+from _coltsfootroad.control import watchcache
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import registry
 from _coltsfootroad.gateway import watch as watch_lib
@@ -51,16 +51,16 @@
     up: bool = True
     frozen_until: float = 0.0
     incarnation: int = 0
-    hub: hub_lib.Hub | None = None
+    coordinator: coordinator_lib.Coordinator | None = None
     # Its hub of a term that has ended while it stood still.
-    deposed: hub_lib.Hub | None = None
-    mirror: mirror_lib.Mirror = attrs.field(init=False)
+    deposed: coordinator_lib.Coordinator | None = None
+    watch_cache: watchcache.WatchCache = attrs.field(init=False)
     desk: watchdesk.WatchDesk = attrs.field(init=False)
 
     def start(self) -> None:
         """Start, knowing nothing."""
         self.up = True
-        self.hub = self.deposed = None
+        self.coordinator = self.deposed = None
         self.incarnation += 1
         relay = watching.Relay(
             name=self.name,
@@ -68,14 +68,14 @@
             address=self.address,
             availability_zone=self.zone,
         )
-        self.mirror = mirror_lib.Mirror(relay)
-        self.desk = watchdesk.WatchDesk(self.mirror, self.ask_leader)
+        self.watch_cache = watchcache.WatchCache(relay)
+        self.desk = watchdesk.WatchDesk(self.watch_cache, self.ask_leader)
         link = links.GrpcControlLink(tuple(self.world.replica_addresses()))
         link.channels = WorldChannels(self.world, self.name, self.zone)
         self.desk.relay = relayloop.RelayLoop(
-            self.mirror,
+            self.watch_cache,
             link,
-            lambda: self.hub is not None,
+            lambda: self.coordinator is not None,
             self.desk.wake,
             self.world.broken,
         )
@@ -84,66 +84,72 @@
     def stop(self) -> None:
         """Die."""
         self.up = False
-        self.hub = self.deposed = None
+        self.coordinator = self.deposed = None
         self.desk.relay.stop()
         self.desk.wake()
 
     def lead(self) -> None:
         """Begin to lead, as a replica does."""
         now = self.world.now
-        heard_since = self.mirror.heard_since
-        if not self.mirror.is_good(now):
-            self.mirror.book.clear()
-            heard_since = now
-        self.hub = hub_lib.Hub(
+        registry_since = self.watch_cache.registry_since
+        if not self.watch_cache.is_fresh(now):
+            self.watch_cache.fleet_state.clear()
+            registry_since = now
+        self.coordinator = coordinator_lib.Coordinator(
             epoch=f"{self.name}/{self.world.next_term()}",
             state=self.world.state,
             started_at=now,
-            book=self.mirror.book,
-            heard_since=heard_since,
+            fleet_state=self.watch_cache.fleet_state,
+            registry_since=registry_since,
+        )
+        self.coordinator.update_relay(
+            self.watch_cache.relay, coordinator_lib.NEVER
         )
-        self.hub.take_relay(self.mirror.relay, hub_lib.NEVER)
         self.desk.wake()
 
     def step_down(self) -> None:
         """Lead no longer; a process that stands still learns of it later."""
-        if self.hub is not None:
-            self.deposed, self.hub = self.hub, None
+        if self.coordinator is not None:
+            self.deposed, self.coordinator = self.coordinator, None
             self.note_deposed()
 
     def note_deposed(self) -> None:
         """Go on as a relay after having led, unless it stands still."""
         if self.deposed is not None and not self.world.stands_still(self.name):
-            self.mirror.step_down(self.deposed.heard_since, self.world.now)
+            self.watch_cache.step_down(
+                self.deposed.registry_since, self.world.now
+            )
             self.deposed = None
 
     async def answer(self, message) -> object:
         """Answer a call of another process."""
         if isinstance(message, watching.Watch | watching.RelayWatch):
             return await self.desk.answer(message)
-        if self.hub is None:
+        if self.coordinator is None:
             return outcomes.NotLeader(hint=self.world.leader_address())
         if isinstance(message, crashreports.ReportCrashes):
-            for command in self.hub.take_crashes(message, self.world.now):
+            for command in self.coordinator.record_crashes(
+                message, self.world.now
+            ):
                 self.world.apply(command)
             return outcomes.Done()
         if isinstance(message, retrylending.BorrowRetries):
-            return self.hub.retry_lender.lend(message, self.world.now)
+            return self.coordinator.retry_lender.lend(message, self.world.now)
         return self.world.apply(message)
 
     async def ask_leader(self, question) -> object:
         """Answer as the leader, or say who leads."""
-        if self.hub is None:
+        if self.coordinator is None:
             return outcomes.NotLeader(hint=self.world.leader_address())
         if isinstance(question, watching.RelayWatch):
-            news = self.hub.on_relay_watch(question, self.world.now)
+            news = self.coordinator.on_relay_watch(question, self.world.now)
         else:
-            near = mirror_lib.near_relays(
-                self.hub.book, question, self.mirror.relay
+            near = watchcache.relays_in_zone(
+                self.coordinator.fleet_state, question, self.watch_cache.relay
             )
             if near:
                 return watching.AskElsewhere(relays=near)
-            news = self.hub.on_watch(question, self.world.now)
+            news = self.coordinator.on_watch(question, self.world.now)
         return attrs.evolve(
             news, replicas=tuple(self.world.replica_addresses())
         )
@@ -231,8 +237,8 @@
         """Apply a replicated command, as the leader does."""
         answer = self.state.apply(command, clocks.unix_time())
         for process in self.processes.values():
-            if process.hub is not None:
-                process.hub.publish_quarantine(self.now)
+            if process.coordinator is not None:
+                process.coordinator.publish_quarantine(self.now)
                 process.desk.wake()
         return answer
 
@@ -272,7 +278,7 @@
     def leader(self) -> Process | None:
         """Return who leads."""
         for process in self.processes.values():
-            if process.hub is not None:
+            if process.coordinator is not None:
                 return process
         return None
 
@@ -318,7 +324,7 @@
         self.state.routes.put(messages.PutRoutes(config=config, source=b""))
         self.acked.append((self.now, version))
         for process in self.processes.values():
-            if process.hub is not None:
+            if process.coordinator is not None:
                 process.desk.wake()
         return True
 
@@ -336,7 +342,7 @@
             state=state,
         )
         self.endpoints[name] = announcement
-        leader.hub.take_announcement(announcement, 8.0, self.now)
+        leader.coordinator.record_announcement(announcement, 8.0, self.now)
         leader.desk.wake()
 
     def renew_endpoints(self) -> None:
@@ -410,12 +416,14 @@
             self.elect()
             for process in self.processes.values():
                 process.note_deposed()
-                if process.hub is not None:
-                    for command in process.hub.convict_late(self.now):
+                if process.coordinator is not None:
+                    for command in process.coordinator.quarantine_delayed(
+                        self.now
+                    ):
                         self.apply(command)
-                    mark = process.hub.last_mark
-                    process.hub.expire(self.now)
-                    if process.hub.last_mark != mark:
+                    revision = process.coordinator.last_revision
+                    process.coordinator.expire(self.now)
+                    if process.coordinator.last_revision != revision:
                         process.desk.wake()
             if self.now >= renew_at:
                 renew_at = self.now + 1.2
--- a/features/support/requestmachine.py
+++ b/features/support/requestmachine.py
@@ -199,7 +199,7 @@
         }
         assert not held and not self.world.endpoints.kv_held(), held
         assert (
-            not self.world.control.hub.groups.holds
+            not self.world.control.coordinator.groups.holds
         ), "groups still hold engines"
         for entry in self.world.entries.by_name.values():
             assert not entry.core.releaser.pending, "cancels never ended"
--- a/src/_coltsfootroad/commands/standalone.py
+++ b/src/_coltsfootroad/commands/standalone.py
@@ -57,7 +57,7 @@
         """Wait until the only replica leads."""
         loop = asyncio.get_running_loop()
         end = loop.time() + LEADER_WAIT_S
-        while self.control.node.hub is None and loop.time() < end:
+        while self.control.node.coordinator is None and loop.time() < end:
             await asyncio.sleep(POLL_S)
 
     async def put_config(self) -> None:
--- a/src/_coltsfootroad/control/node.py
+++ b/src/_coltsfootroad/control/node.py
@@ -8,13 +8,12 @@
 import attrs
 
 from _coltsfootroad.control import commandlog
+from _coltsfootroad.control import coordinator as coordinator_lib
 from _coltsfootroad.control import crashreports
 from _coltsfootroad.control import fences
-from _coltsfootroad.control import hub as hub_lib
 from _coltsfootroad.control import log as log_lib
 from _coltsfootroad.control import membership as membership_lib
 from _coltsfootroad.control import messages
-from _coltsfootroad.control import mirror as mirror_lib
 from _coltsfootroad.control import outcomes
 from _coltsfootroad.control import peers
 from _coltsfootroad.control import raft as raft_lib
@@ -25,6 +24,7 @@
 from _coltsfootroad.control import state as state_lib
 from _coltsfootroad.control import storage as storage_lib
 from _coltsfootroad.control import voterwatch
+from _coltsfootroad.control import watchcache
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import errors
 
@@ -94,9 +94,9 @@
     started_at: float = 0.0
     raft: raft_lib.Raft = attrs.field(init=False)
     state: state_lib.ControlState = attrs.field(init=False)
-    hub: hub_lib.Hub | None = None
+    coordinator: coordinator_lib.Coordinator | None = None
     # What it knows while another replica leads, and what it begins with.
-    mirror: mirror_lib.Mirror = attrs.field()
+    watch_cache: watchcache.WatchCache = attrs.field()
     waiters: dict[int, Waiter] = attrs.Factory(dict)
     pending: list[ready_lib.Ready] = attrs.Factory(list)
     blocked_until: float = 0.0
@@ -114,12 +114,12 @@
         membership_lib.Membership
     )
 
-    @mirror.default
-    def _own_mirror(self):
+    @watch_cache.default
+    def _own_watch_cache(self):
         relay = watching.Relay(
             name=self.replica.name, incarnation=0, address=self.replica.address
         )
-        return mirror_lib.Mirror(relay)
+        return watchcache.WatchCache(relay)
 
     def __attrs_post_init__(self):
         loaded = self.storage.load()
@@ -164,7 +164,7 @@
         if not self.is_blocked:
             self.raft.tick(now)
             self.tend_replicas(now)
-            self.convict_late(now)
+            self.quarantine_delayed(now)
         self.process(now)
 
     def next_wake(self) -> float:
@@ -322,31 +322,31 @@
         ready = self.raft.is_leader and (
             self.raft.applied >= self.raft.term_start
         )
-        if ready and self.hub is None:
-            self.hub = self.take_over(now)
+        if ready and self.coordinator is None:
+            self.coordinator = self.take_over(now)
         elif ready:
-            self.hub.publish_quarantine(now)
-        elif not ready and self.hub is not None:
-            self.mirror.step_down(self.hub.heard_since, now)
-            self.hub = None
+            self.coordinator.publish_quarantine(now)
+        elif not ready and self.coordinator is not None:
+            self.watch_cache.step_down(self.coordinator.registry_since, now)
+            self.coordinator = None
         if not self.raft.is_leader and self.waiters:
             self.fail_waiters()
 
-    def take_over(self, now: float) -> hub_lib.Hub:
+    def take_over(self, now: float) -> coordinator_lib.Coordinator:
         """Return the hub of a new leader, which goes on from a good copy."""
-        heard_since = self.mirror.heard_since
-        if not self.mirror.is_good(now):
-            self.mirror.book.clear()
-            heard_since = now
-        hub = hub_lib.Hub(
+        registry_since = self.watch_cache.registry_since
+        if not self.watch_cache.is_fresh(now):
+            self.watch_cache.fleet_state.clear()
+            registry_since = now
+        coordinator = coordinator_lib.Coordinator(
             epoch=f"{self.replica.identity}/{self.raft.term}",
             state=self.state,
             started_at=now,
-            book=self.mirror.book,
-            heard_since=heard_since,
+            fleet_state=self.watch_cache.fleet_state,
+            registry_since=registry_since,
         )
-        hub.take_relay(self.mirror.relay, hub_lib.NEVER)
-        return hub
+        coordinator.update_relay(self.watch_cache.relay, coordinator_lib.NEVER)
+        return coordinator
 
     def fail_waiters(self) -> None:
         """Tell those who wait that the outcome is not known here."""
@@ -362,7 +362,7 @@
             reply(self.info())
         elif isinstance(message, COMMANDS):
             self.propose(message, now, reply)
-        elif self.hub is None or not self.raft.has_lease(now):
+        elif self.coordinator is None or not self.raft.has_lease(now):
             reply(outcomes.NotLeader(hint=self.leader_address()))
         elif isinstance(message, messages.ChangeReplicas):
             self.change_replicas(message, now, reply)
@@ -371,13 +371,13 @@
         elif isinstance(message, messages.LeaveReplica):
             self.leave(message, reply, now)
         elif isinstance(message, crashreports.ReportCrashes):
-            self.take_crashes(message, reply, now)
+            self.record_crashes(message, reply, now)
         elif isinstance(message, retrylending.BorrowRetries):
-            reply(self.hub.retry_lender.lend(message, now))
+            reply(self.coordinator.retry_lender.lend(message, now))
         else:
             reply(self.answer_read(message, now))
 
-    def take_crashes(
+    def record_crashes(
         self, report: crashreports.ReportCrashes, reply: Reply, now: float
     ) -> None:
         """Take a gateway's report of crashes and replicate what follows.
@@ -385,15 +385,15 @@
         A conviction that cannot be replicated now follows again from the next
         report.
         """
-        for command in self.hub.take_crashes(report, now):
+        for command in self.coordinator.record_crashes(report, now):
             self.propose(command, now, ignore_reply)
         reply(outcomes.Done())
 
-    def convict_late(self, now: float) -> None:
+    def quarantine_delayed(self, now: float) -> None:
         """Replicate what crashes prove some time after their reports."""
-        if self.hub is None or not self.raft.has_lease(now):
+        if self.coordinator is None or not self.raft.has_lease(now):
             return
-        for command in self.hub.convict_late(now):
+        for command in self.coordinator.quarantine_delayed(now):
             self.propose(command, now, ignore_reply)
 
     def propose(self, command: object, now: float, reply: Reply) -> None:
--- a/src/_coltsfootroad/control/reads.py
+++ b/src/_coltsfootroad/control/reads.py
@@ -5,13 +5,13 @@
 
 import attrs
 
+from _coltsfootroad.control import coordinator as coordinator_lib
 from _coltsfootroad.control import crashreports
 from _coltsfootroad.control import electiontimer
-from _coltsfootroad.control import hub as hub_lib
 from _coltsfootroad.control import messages
-from _coltsfootroad.control import mirror
 from _coltsfootroad.control import outcomes
 from _coltsfootroad.control import state as state_lib
+from _coltsfootroad.control import watchcache
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import registry
@@ -32,28 +32,30 @@
 
 def on_sync(node, message: messages.SyncRequest, now: float) -> object:
     """Answer an entry's heartbeat."""
-    return node.hub.on_sync(message, now)
+    return node.coordinator.on_sync(message, now)
 
 
 def on_watch(node, message: watching.Watch, now: float) -> object:
     """Answer a gateway's watch, or send it to the relays of its zone."""
-    near = mirror.near_relays(node.hub.book, message, node.mirror.relay)
+    near = watchcache.relays_in_zone(
+        node.coordinator.fleet_state, message, node.watch_cache.relay
+    )
     if near:
         return watching.AskElsewhere(relays=near)
-    news = node.hub.on_watch(message, now)
+    news = node.coordinator.on_watch(message, now)
     return attrs.evolve(news, replicas=node.replica_addresses())
 
 
 def on_relay_watch(node, message: watching.RelayWatch, now: float) -> object:
     """Answer a relay's watch."""
-    news = node.hub.on_relay_watch(message, now)
+    news = node.coordinator.on_relay_watch(message, now)
     return attrs.evolve(news, replicas=node.replica_addresses())
 
 
 def on_announce(node, message: messages.Announce, now: float) -> object:
     """Take an endpoint's announcement."""
-    node.hub.take_announcement(
-        message.announcement, hub_lib.ANNOUNCEMENT_LEASE_S, now
+    node.coordinator.record_announcement(
+        message.announcement, coordinator_lib.ANNOUNCEMENT_LEASE_S, now
     )
     return outcomes.Done()
 
@@ -66,12 +68,12 @@
 
 def reserve(node, message: messages.GroupReserve, now: float) -> object:
     """Reserve memory for a group."""
-    return node.hub.groups.reserve(message, now)
+    return node.coordinator.groups.reserve(message, now)
 
 
 def release(node, message: messages.GroupRelease, _: float) -> object:
     """Release the memory of a group."""
-    node.hub.groups.release(message.group)
+    node.coordinator.groups.release(message.group)
     return outcomes.Done()
 
 
@@ -120,7 +122,7 @@
 
 def status(node, now: float) -> dict:
     """Return the fleet as the leader sees it, as plain JSON values."""
-    raft, hub = node.raft, node.hub
+    raft, coordinator = node.raft, node.coordinator
     return {
         "leader": node.replica.identity,
         "term": raft.term,
@@ -131,14 +133,16 @@
             replica_status(raft, identity, now)
             for identity in raft.replica_set.everyone()
         ],
-        "relays": [attrs.asdict(live.relay) for live in hub.relays.values()],
+        "relays": [
+            attrs.asdict(live.relay) for live in coordinator.relays.values()
+        ],
         "entries": [
             attrs.asdict(live.member) | {"relay": live.relay}
-            for live in hub.members.values()
+            for live in coordinator.members.values()
         ],
         "endpoints": [
             endpoint_status(known.announcement)
-            for known in hub.registry.registrations.values()
+            for known in coordinator.registry.registrations.values()
         ],
     }
 
--- a/src/_coltsfootroad/replay/simcontrol.py
+++ b/src/_coltsfootroad/replay/simcontrol.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from _coltsfootroad.control import hub as hub_lib
+from _coltsfootroad.control import coordinator as coordinator_lib
 from _coltsfootroad.control import messages
 from _coltsfootroad.control import state as state_lib
 from _coltsfootroad.replay import network as network_lib
@@ -16,7 +16,7 @@
 
     network: network_lib.Network
     state: state_lib.ControlState = attrs.Factory(state_lib.ControlState)
-    hub: hub_lib.Hub | None = None
+    coordinator: coordinator_lib.Coordinator | None = None
     is_up: bool = True
     epoch: int = 0
 
@@ -27,7 +27,9 @@
         """Start a leader's soft state anew."""
         self.epoch += 1
         name = f"epoch-{self.epoch}"
-        self.hub = hub_lib.Hub(name, self.state, self.network.now)
+        self.coordinator = coordinator_lib.Coordinator(
+            name, self.state, self.network.now
+        )
 
     def unix(self) -> float:
         """Return unix seconds."""
@@ -46,11 +48,13 @@
         """Return the leader's answer to an entry."""
         match message:
             case messages.SyncRequest():
-                return self.hub.on_sync(message, self.network.now)
+                return self.coordinator.on_sync(message, self.network.now)
             case messages.GroupReserve():
-                return self.hub.groups.reserve(message, self.network.now)
+                return self.coordinator.groups.reserve(
+                    message, self.network.now
+                )
             case messages.GroupRelease():
-                return self.hub.groups.release(message.group)
+                return self.coordinator.groups.release(message.group)
         return self.state.apply(message, self.unix())
 
     def stop(self) -> None:
--- a/src/_coltsfootroad/shell/controlrelay.py
+++ b/src/_coltsfootroad/shell/controlrelay.py
@@ -8,9 +8,9 @@
 import asyncio
 
 from _coltsfootroad.control import messages
-from _coltsfootroad.control import mirror as mirror_lib
 from _coltsfootroad.control import outcomes
 from _coltsfootroad.control import replicas
+from _coltsfootroad.control import watchcache
 from _coltsfootroad.control import watching
 from _coltsfootroad.shell import dumps
 from _coltsfootroad.shell import links
@@ -37,11 +37,11 @@
     ):
         self.settings = settings
         self.link = links.GrpcControlLink(settings.peers())
-        self.mirror = mirror_lib.Mirror(relay)
-        self.desk = watchdesk.WatchDesk(self.mirror, self.name_leader)
+        self.watch_cache = watchcache.WatchCache(relay)
+        self.desk = watchdesk.WatchDesk(self.watch_cache, self.name_leader)
         self.broken: asyncio.Future = asyncio.get_running_loop().create_future()
         self.desk.relay = relayloop.RelayLoop(
-            self.mirror,
+            self.watch_cache,
             self.link,
             lambda: False,
             self.desk.wake,
@@ -57,7 +57,7 @@
         self.metrics.gauge(
             "colts_control_config_version",
             "Configuration version served here",
-            lambda: self.mirror.routes.version,
+            lambda: self.watch_cache.routes.version,
         )
         self.metrics.gauge(
             "colts_control_relay_connected",
@@ -139,7 +139,7 @@
             {
                 "settings": self.settings,
                 "info": self.info(),
-                "mirror": self.mirror,
+                "mirror": self.watch_cache,
             }
         )
 
--- a/src/_coltsfootroad/shell/controlserver.py
+++ b/src/_coltsfootroad/shell/controlserver.py
@@ -9,11 +9,11 @@
 
 from _coltsfootroad.control import membership as membership_lib
 from _coltsfootroad.control import messages
-from _coltsfootroad.control import mirror as mirror_lib
 from _coltsfootroad.control import node as node_lib
 from _coltsfootroad.control import outcomes
 from _coltsfootroad.control import replicas
 from _coltsfootroad.control import retrylending
+from _coltsfootroad.control import watchcache
 from _coltsfootroad.control import watching
 from _coltsfootroad.shell import clocks
 from _coltsfootroad.shell import controlrelay
@@ -79,11 +79,11 @@
             rng=random.Random(),
             started_at=clocks.PROCESS_STARTED,
             membership=membership_lib.Membership(settings.required_voters),
-            mirror=mirror_lib.Mirror(relay_of(settings)),
+            watch_cache=watchcache.WatchCache(relay_of(settings)),
         )
-        self.desk = watchdesk.WatchDesk(self.node.mirror, self.call_node)
+        self.desk = watchdesk.WatchDesk(self.node.watch_cache, self.call_node)
         self.desk.relay = relayloop.RelayLoop(
-            self.node.mirror,
+            self.node.watch_cache,
             self.link,
             self.leads,
             self.desk.wake,
@@ -263,10 +263,10 @@
     def note_changes(self) -> None:
         """Wake the watches whose answer may have changed."""
         self.quarantine_log.note()
-        hub = self.node.hub
+        coordinator = self.node.coordinator
         seen = (
-            hub and hub.epoch,
-            hub and hub.last_mark,
+            coordinator and coordinator.epoch,
+            coordinator and coordinator.last_revision,
             self.node.state.routes.version,
         )
         if seen != self.seen:
@@ -345,7 +345,7 @@
 
     def leads(self) -> bool:
         """Return whether this replica answers as the leader."""
-        return self.node.hub is not None
+        return self.node.coordinator is not None
 
     async def call_node(self, message: object) -> object:
         """Answer a call at once, or when its command is applied."""
@@ -377,23 +377,23 @@
                 "claims": len(self.node.state.claims.claims),
                 "leases": self.node.state.leases,
                 "quarantine": list(self.node.state.quarantine.entries.values()),
-                "hub": self.hub_dump(),
+                "hub": self.coordinator_dump(),
                 "syncs": self.node.syncs,
             }
         )
 
-    def hub_dump(self) -> dict | None:
+    def coordinator_dump(self) -> dict | None:
         """Return the soft state, if this replica leads."""
-        hub = self.node.hub
-        if hub is None:
+        coordinator = self.node.coordinator
+        if coordinator is None:
             return None
         return {
-            "members": hub.members,
-            "registry": hub.registry,
-            "shares": hub.shares,
-            "groups": hub.groups,
-            "crashes": hub.crashes,
-            "retries_lent": hub.retry_lender.outstanding(),
+            "members": coordinator.members,
+            "registry": coordinator.registry,
+            "shares": coordinator.shares,
+            "groups": coordinator.groups,
+            "crashes": coordinator.crashes,
+            "retries_lent": coordinator.retry_lender.outstanding(),
         }
 
     def add_metrics(self) -> None:
--- a/src/_coltsfootroad/shell/loanlog.py
+++ b/src/_coltsfootroad/shell/loanlog.py
@@ -20,11 +20,11 @@
         self, request: retrylending.BorrowRetries, answer: object, now: float
     ) -> None:
         """Log an answer with what decided it."""
-        hub = self.node.hub
+        coordinator = self.node.coordinator
         lent = isinstance(answer, retrylending.RetriesLent)
-        if hub is None or not lent or not self.lines.allows(now):
+        if coordinator is None or not lent or not self.lines.allows(now):
             return
-        lender = hub.retry_lender
+        lender = coordinator.retry_lender
         LOG.info(
             "retries lent" if answer.amount else "no retries lent",
             gateway=request.gateway,
@@ -39,7 +39,7 @@
 
     def outstanding(self) -> int | None:
         """Return the retries lent of all services, None if none leads."""
-        hub = self.node.hub
-        if hub is None:
+        coordinator = self.node.coordinator
+        if coordinator is None:
             return None
-        return sum(hub.retry_lender.outstanding().values())
+        return sum(coordinator.retry_lender.outstanding().values())
--- a/src/_coltsfootroad/shell/quarantinelog.py
+++ b/src/_coltsfootroad/shell/quarantinelog.py
@@ -41,5 +41,5 @@
             since=entry.since,
             trials=entry.trials,
             trial_at=entry.trial_at,
-            leads=self.node.hub is not None,
+            leads=self.node.coordinator is not None,
         )
--- a/src/_coltsfootroad/shell/relayloop.py
+++ b/src/_coltsfootroad/shell/relayloop.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from _coltsfootroad.control import mirror as mirror_lib
+from _coltsfootroad.control import watchcache
 from _coltsfootroad.control import watching
 from _coltsfootroad.shell import clocks
 from _coltsfootroad.shell import links
@@ -28,14 +28,14 @@
 
     def __init__(
         self,
-        mirror: mirror_lib.Mirror,
+        watch_cache: watchcache.WatchCache,
         link: links.GrpcControlLink,
         leads: Callable[[], bool],
         on_news: Callable[[], None],
         broken: asyncio.Future,
         replicas: Callable[[], tuple[str, ...]] = tuple,
     ):
-        self.mirror = mirror
+        self.watch_cache = watch_cache
         self.link = link
         self.leads = leads
         self.on_news = on_news
@@ -73,24 +73,32 @@
     async def ask(self, wait_s: float) -> bool:
         """Ask once; return whether a leader answered."""
         self.link.learn(self.replicas())
-        asked_at = clocks.boot_time()
-        question = self.mirror.question(asked_at, wait_s)
-        answer = await self.link.call(question, wait_s + TRAVEL_S)
+        requested_at = clocks.boot_time()
+        next_request = self.watch_cache.next_request(requested_at, wait_s)
+        answer = await self.link.call(next_request, wait_s + TRAVEL_S)
         news = answer.ok if answer.is_ok() else None
         if self.leads() or not isinstance(news, watching.News):
             self.note_link(False, describe(answer))
             return False
         self.note_link(True, news.epoch)
-        before = (self.mirror.book.last_mark, self.mirror.routes.version)
-        self.mirror.take(question, news, asked_at, clocks.boot_time())
+        before = (
+            self.watch_cache.fleet_state.last_revision,
+            self.watch_cache.routes.version,
+        )
+        self.watch_cache.apply_response(
+            next_request, news, requested_at, clocks.boot_time()
+        )
         self.link.learn(news.replicas)
-        if before != (self.mirror.book.last_mark, self.mirror.routes.version):
+        if before != (
+            self.watch_cache.fleet_state.last_revision,
+            self.watch_cache.routes.version,
+        ):
             self.on_news()
         return True
 
     def plan_report(self) -> None:
         """Tell the leader soon what is not to wait for the next answer."""
-        if self.mirror.has_report and not self.report_planned:
+        if self.watch_cache.has_unreported_changes and not self.report_planned:
             self.report_planned = True
             self.spawn(self.report())
 
@@ -98,14 +106,20 @@
         """Tell the leader of gateways that came or went."""
         await asyncio.sleep(REPORT_S)
         self.report_planned = False
-        if not self.leads() and self.mirror.has_report and self.connected:
+        if (
+            not self.leads()
+            and self.watch_cache.has_unreported_changes
+            and self.connected
+        ):
             await self.ask(0.0)
 
     def note_link(self, connected: bool, detail: str) -> None:
         """Log each lost or regained leader once."""
         if connected != self.connected:
             text = "leader regained" if connected else "leader lost"
-            LOG.info(text, detail=detail, version=self.mirror.routes.version)
+            LOG.info(
+                text, detail=detail, version=self.watch_cache.routes.version
+            )
         self.connected = connected
 
     def stop(self) -> None:
--- a/src/_coltsfootroad/shell/watchdesk.py
+++ b/src/_coltsfootroad/shell/watchdesk.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from _coltsfootroad.control import mirror as mirror_lib
 from _coltsfootroad.control import outcomes
+from _coltsfootroad.control import watchcache
 from _coltsfootroad.control import watching
 from _coltsfootroad.shell import clocks
 from _coltsfootroad.shell import relayloop
@@ -25,8 +25,10 @@
 class WatchDesk:
     """Answers as the leader or from the copy, once there is news."""
 
-    def __init__(self, mirror: mirror_lib.Mirror, ask_leader: AskLeader):
-        self.mirror = mirror
+    def __init__(
+        self, watch_cache: watchcache.WatchCache, ask_leader: AskLeader
+    ):
+        self.watch_cache = watch_cache
         self.ask_leader = ask_leader
         self.relay: relayloop.RelayLoop | None = None
         self.changed = asyncio.Event()
@@ -59,7 +61,7 @@
         not_leader = isinstance(answer, outcomes.NotLeader)
         if not not_leader or isinstance(question, watching.RelayWatch):
             return answer
-        relayed = self.mirror.on_watch(question, clocks.boot_time())
+        relayed = self.watch_cache.on_watch(question, clocks.boot_time())
         self.relay.plan_report()
         if isinstance(relayed, outcomes.NotLeader):
             return answer
