--- a/features/steps/retrylending_steps.py
+++ b/features/steps/retrylending_steps.py
@@ -34,7 +34,9 @@
 def leader(context, leads, lent):
     context.lender = retrylending.RetryLender(NOW - leads)
     if lent:
-        until = NOW - LENT_BEFORE_S + retrylending.hold_time_s(REQUEST.window_s)
+        until = (
+            NOW - LENT_BEFORE_S + retrylending.loan_lifetime_s(REQUEST.window_s)
+        )
         loans = context.lender.loans_of(REQUEST.service, NOW)
         loans.add(lent, until)
 
@@ -78,7 +80,7 @@
 
 @when("a gateway asks it for another service")
 def another_service(context):
-    later = retrylending.hold_time_s(WINDOW_S)
+    later = retrylending.loan_lifetime_s(WINDOW_S)
     context.amounts = [
         context.lender.lend(
             attrs.evolve(REQUEST, service="another"), NOW + after_s
--- a/features/support/mutants.py
+++ b/features/support/mutants.py
@@ -207,7 +207,7 @@
     return property(lambda self: True)
 
 
-@defect(REQUEST, shares, "MARGIN_S")
+@defect(REQUEST, shares, "LEASE_MARGIN_S")
 def grants_shares_before_they_ended(_):
     return -3.0
 
@@ -441,7 +441,7 @@
     return wrong
 
 
-@defect(CONTROL, claims.ClaimTable, "forget")
+@defect(CONTROL, claims.ClaimTable, "drop_expired")
 def forgets_claims_early(_):
     return lambda self, now: self.claims.clear()
 
--- a/features/support/retrydefects.py
+++ b/features/support/retrydefects.py
@@ -80,7 +80,7 @@
     return wrong
 
 
-@mutants.defect(DEFECTS, retrylending, "hold_time_s")
+@mutants.defect(DEFECTS, retrylending, "loan_lifetime_s")
 def a_loan_counts_for_its_own_time_only(right):
     def wrong(window_s):
         return right(window_s) - window_s
@@ -96,7 +96,7 @@
     return wrong
 
 
-@mutants.defect(DEFECTS, retrylending, "LOAN_PART")
+@mutants.defect(DEFECTS, retrylending, "LENDABLE_FRACTION")
 def all_of_the_slack_is_lent_as_well(right):
     del right
     return 1.0
--- a/src/_coltsfootroad/control/claims.py
+++ b/src/_coltsfootroad/control/claims.py
@@ -1,4 +1,4 @@
-"""Claims on idempotency keys: who may run, and what came of it."""
+"""Claims on idempotency keys: the right to run a key, and its outcome."""
 
 import collections
 import enum
@@ -12,14 +12,14 @@
 MAX_CLAIMS = 1_000_000
 MAX_ANSWER_BYTES = 256 * 1024
 MAX_ANSWERS_BYTES = 256 * 1024 * 1024
-# Difference allowed between the clocks of callers and of the control state.
+# Allowed clock skew between callers and the control state.
 CLOCK_SKEW_S = 300.0
-# Added to the holder's own bound before its silence counts as unknown.
+# Added to the holder's own deadline before the outcome counts as unknown.
 LEASE_MARGIN_S = 2.0
 
 
 class ClaimState(enum.Enum):
-    """Where a claimed key stands."""
+    """State of a claimed key."""
 
     IN_PROGRESS = "in_progress"
     DONE = "done"
@@ -28,7 +28,7 @@
 
 @attrs.define
 class Claim:
-    """The record of one key."""
+    """The claim on one key."""
 
     token: str
     body_hash: str
@@ -43,11 +43,11 @@
 
 @attrs.define
 class ClaimTable:
-    """All claims that can still matter.
+    """All claims whose keys can still be admitted.
 
-    A claim may be forgotten only when its key can no longer be admitted:
-    keys carry their time, older ones than the retention are refused, and
-    the record outlives that by the skew allowed between clocks.
+    A claim may be dropped only when its key can no longer be admitted. Keys
+    carry their creation time, and keys older than the retention are refused.
+    The claim outlives the retention by the allowed clock skew.
     """
 
     claims: dict[ClaimKey, Claim] = attrs.Factory(dict)
@@ -58,47 +58,47 @@
     def take(
         self, command: messages.TakeClaim, retention_s: float, now: float
     ) -> messages.ClaimAnswer:
-        """Grant the key to the asker, or say what became of it."""
-        self.forget(now)
+        """Grant the key to the claimant, or return its state or outcome."""
+        self.drop_expired(now)
         key = (command.workspace, command.key)
         claim = self.claims.get(key)
         if claim is None:
-            return self.take_new(key, command, retention_s, now)
+            return self.add(key, command, retention_s, now)
         if claim.body_hash != command.body_hash:
-            return answer_of(messages.ClaimStatus.KEY_REUSED)
+            return status_answer(messages.ClaimStatus.KEY_REUSED)
         if claim.state is ClaimState.DONE:
             if claim.answer is None:
-                return answer_of(messages.ClaimStatus.NOT_STORED)
+                return status_answer(messages.ClaimStatus.NOT_STORED)
             return messages.ClaimAnswer(
                 status=messages.ClaimStatus.DONE, answer=claim.answer
             )
         if claim.state is ClaimState.IN_PROGRESS and now >= claim.until:
-            # The holder's silence proves nothing, so nobody else may run it.
+            # The holder may have run it, so the key is not granted again.
             claim.state = ClaimState.UNKNOWN
         if claim.state is ClaimState.UNKNOWN:
-            return answer_of(messages.ClaimStatus.UNKNOWN)
+            return status_answer(messages.ClaimStatus.UNKNOWN)
         if claim.token == command.token:
-            return answer_of(messages.ClaimStatus.GRANTED)
+            return status_answer(messages.ClaimStatus.GRANTED)
         return messages.ClaimAnswer(
             status=messages.ClaimStatus.IN_PROGRESS,
             retry_after_s=max(1.0, claim.until - now),
         )
 
-    def take_new(
+    def add(
         self,
         key: ClaimKey,
         command: messages.TakeClaim,
         retention_s: float,
         now: float,
     ) -> messages.ClaimAnswer:
-        """Record a key that is not known."""
+        """Add a claim on an unknown key."""
         too_old = command.key_time < now - retention_s
         if too_old or command.key_time > now + CLOCK_SKEW_S:
-            return answer_of(messages.ClaimStatus.KEY_EXPIRED)
+            return status_answer(messages.ClaimStatus.KEY_EXPIRED)
         if len(self.claims) >= MAX_CLAIMS:
-            return answer_of(messages.ClaimStatus.FULL)
-        # Counted from the later of the key's time and now: the key can be
-        # admitted until key_time + retention on a clock that may be behind.
+            return status_answer(messages.ClaimStatus.FULL)
+        # The key can be admitted until key_time + retention, on a clock that
+        # may be behind, so this counts from the later of key_time and now.
         forget_at = max(now, command.key_time) + retention_s + CLOCK_SKEW_S
         self.claims[key] = Claim(
             token=command.token,
@@ -107,10 +107,10 @@
             until=now + command.lease_s + LEASE_MARGIN_S,
         )
         self.by_age.append((forget_at, key))
-        return answer_of(messages.ClaimStatus.GRANTED)
+        return status_answer(messages.ClaimStatus.GRANTED)
 
     def settle(self, command: messages.SettleClaim) -> None:
-        """Record the end of a key that the sender holds."""
+        """Record the outcome of a key that the sender holds."""
         key = (command.workspace, command.key)
         claim = self.claims.get(key)
         if claim is None or claim.token != command.token:
@@ -121,14 +121,14 @@
             del self.claims[key]
         elif command.ran is errors.Ran.YES:
             claim.state = ClaimState.DONE
-            self.store(key, claim, command.answer)
+            self.store_answer(key, claim, command.answer)
         else:
             claim.state = ClaimState.UNKNOWN
 
-    def store(
+    def store_answer(
         self, key: ClaimKey, claim: Claim, answer: request_lib.Answer | None
     ) -> None:
-        """Keep an answer within the byte bounds, dropping the oldest."""
+        """Store an answer within the byte limits, dropping the oldest."""
         if answer is None or len(answer.body) > MAX_ANSWER_BYTES:
             return
         claim.answer = answer
@@ -138,12 +138,12 @@
             self.drop_answer(self.claims.get(self.answers.popleft()))
 
     def drop_answer(self, claim: Claim | None) -> None:
-        """Free the answer of a claim but keep the claim."""
+        """Drop the answer of a claim but keep the claim."""
         if claim is not None and claim.answer is not None:
             self.answer_bytes -= len(claim.answer.body)
             claim.answer = None
 
-    def forget(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop the claims whose keys can no longer be admitted."""
         while self.by_age and self.by_age[0][0] <= now:
             forget_at, key = self.by_age.popleft()
@@ -153,6 +153,6 @@
                 del self.claims[key]
 
 
-def answer_of(status: messages.ClaimStatus) -> messages.ClaimAnswer:
-    """Return an answer that is only a status."""
+def status_answer(status: messages.ClaimStatus) -> messages.ClaimAnswer:
+    """Return an answer that holds only a status."""
     return messages.ClaimAnswer(status=status)
--- a/src/_coltsfootroad/control/coordinator.py
+++ b/src/_coltsfootroad/control/coordinator.py
@@ -190,7 +190,7 @@
                 fleet_state.endpoints.removed_between(*revisions)
             ),
             loads=self.loads_since(after, now),
-            group_holds=self.groups.held_tokens(now),
+            group_holds=self.groups.reserved_tokens(now),
         )
 
     def on_watch(self, request: watching.Watch, now: float) -> watching.News:
--- a/src/_coltsfootroad/control/crashreports.py
+++ b/src/_coltsfootroad/control/crashreports.py
@@ -1,4 +1,4 @@
-"""What gateways and the leader exchange about requests that crash endpoints."""
+"""Messages and commands about requests that crash endpoints."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class AgedSuspect:
-    """A request in flight at a crash, and for how long it had been."""
+    """A request in flight at a crash, and its time in flight until then."""
 
     fingerprint: fingerprints.Fingerprint
     in_flight_s: float
@@ -18,7 +18,7 @@
 
 @attrs.frozen(kw_only=True)
 class AgedCrash:
-    """A crash with its age, as clocks differ between VMs."""
+    """A crash with its age, since clocks differ between VMs."""
 
     endpoint: crashes.EndpointKey
     age_s: float
@@ -27,13 +27,13 @@
 
 @attrs.frozen(kw_only=True)
 class ReportCrashes:
-    """Tell the leader of crashes, and of suspects that were answered since.
+    """Reports crashes, and suspects that were answered since, to the leader.
 
     Attributes:
-        gateway: Who reports.
-        crashes: Crashes that it saw, each with its own suspects.
-        cleared: Suspects that an endpoint has answered whole.
-        stopped: Sends that the quarantine stopped, by endpoint.
+        gateway: Name of the reporting gateway.
+        crashes: Crashes that the gateway observed, each with its suspects.
+        cleared: Suspects that an endpoint has answered completely.
+        stopped: Attempts that the quarantine aborted, by endpoint.
     """
 
     gateway: str
@@ -44,7 +44,7 @@
 
 @attrs.frozen(kw_only=True)
 class Quarantine:
-    """Refuse a request from now on."""
+    """Puts a request into quarantine: gateways refuse it."""
 
     fingerprint: fingerprints.Fingerprint
     reason: str
@@ -54,7 +54,7 @@
 
 @attrs.frozen(kw_only=True)
 class StartTrial:
-    """Ask to run a request that is in quarantine once."""
+    """Requests one trial run of a quarantined request."""
 
     fingerprint: fingerprints.Fingerprint
     gateway: str
@@ -62,14 +62,14 @@
 
 @attrs.frozen(kw_only=True)
 class TrialAnswer:
-    """Whether a trial may run."""
+    """Whether the trial is granted."""
 
     granted: bool
 
 
 @attrs.frozen(kw_only=True)
 class EndQuarantine:
-    """Run a request again."""
+    """Ends the quarantine of a request."""
 
     fingerprint: fingerprints.Fingerprint
     reason: str
@@ -77,18 +77,18 @@
 
 @attrs.frozen(kw_only=True)
 class ReadQuarantine:
-    """Ask for all requests in quarantine."""
+    """Requests all quarantined requests."""
 
 
 @attrs.frozen(kw_only=True)
 class QuarantineCopy:
-    """All requests in quarantine, oldest first."""
+    """All quarantined requests, oldest first."""
 
     entries: tuple[quarantine.Entry, ...]
 
 
 def with_ages(crash: crashes.Crash, now: float) -> AgedCrash:
-    """Return a crash in the form in which it is sent."""
+    """Return a crash with ages, for sending."""
     return AgedCrash(
         endpoint=crash.endpoint,
         age_s=now - crash.at,
@@ -104,7 +104,7 @@
 
 
 def with_times(aged: AgedCrash, now: float) -> crashes.Crash:
-    """Return a crash that has just been received, in the receiver's time."""
+    """Return a received crash with times of the receiver's clock."""
     at = now - max(0.0, aged.age_s)
     return crashes.Crash(
         endpoint=aged.endpoint,
--- a/src/_coltsfootroad/control/fences.py
+++ b/src/_coltsfootroad/control/fences.py
@@ -1,15 +1,15 @@
-"""Leases with fencing numbers, for work that one process does at a time."""
+"""Leases with fencing tokens, for work that one process does at a time."""
 
 import attrs
 
-# Added to a lease before it is given to somebody else: the holder counts
-# from before it asked, this side from after it granted, and clocks drift.
+# Added to a lease before another holder gets it. The holder counts from before
+# its request and this side from after the grant; the margin covers clock drift.
 LEASE_MARGIN_S = 1.0
 
 
 @attrs.frozen(kw_only=True)
 class TakeLease:
-    """Take or renew a lease by name."""
+    """Takes or renews a lease by name."""
 
     name: str
     holder: str
@@ -18,7 +18,7 @@
 
 @attrs.frozen(kw_only=True)
 class DropLease:
-    """Give a lease back early; only after the holder has stopped acting."""
+    """Releases a lease early, after the holder has stopped acting."""
 
     name: str
     holder: str
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class Lease:
-    """Who holds a lease, under which fencing number, until when."""
+    """The holder of a lease, its fencing token and its end."""
 
     name: str
     holder: str
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class LeaseAnswer:
-    """Outcome of `TakeLease`; `fence` belongs to the current holder."""
+    """Outcome of `TakeLease`; `fence` is the current holder's token."""
 
     granted: bool
     holder: str
@@ -46,7 +46,7 @@
 
 @attrs.define
 class LeaseTable:
-    """All leases; fencing numbers only ever grow."""
+    """All leases; fencing tokens only increase."""
 
     leases: dict[str, Lease] = attrs.Factory(dict)
     last_fence: int = 0
@@ -55,8 +55,8 @@
         """Grant a free lease or renew it for its holder."""
         current = self.leases.get(command.name)
         if current is not None and current.holder == command.holder:
-            # Renewal of an ended lease gets a new number: another holder
-            # may have acted in between and dropped it again.
+            # Renewal of an expired lease gets a new token: another holder
+            # may have taken and released it in between.
             ended = now >= current.until + LEASE_MARGIN_S
             fence = self.next_fence() if ended else current.fence
             return self.grant(command, fence, now, 0.0)
@@ -70,7 +70,7 @@
     def grant(
         self, command: TakeLease, fence: int, now: float, previous: float
     ) -> LeaseAnswer:
-        """Record a grant."""
+        """Record a lease and return the answer to its holder."""
         self.leases[command.name] = Lease(
             name=command.name,
             holder=command.holder,
@@ -85,12 +85,12 @@
         )
 
     def next_fence(self) -> int:
-        """Return a number above all earlier ones."""
+        """Return a fencing token above all earlier ones."""
         self.last_fence += 1
         return self.last_fence
 
     def drop(self, command: DropLease) -> None:
-        """End a lease that its holder gives back."""
+        """End a lease that its holder releases."""
         current = self.leases.get(command.name)
         if current is not None and current.holder == command.holder:
             del self.leases[command.name]
--- a/src/_coltsfootroad/control/groups.py
+++ b/src/_coltsfootroad/control/groups.py
@@ -4,14 +4,14 @@
 
 from _coltsfootroad.control import messages
 
-# A refused group keeps its place in line this long without asking again.
-TICKET_S = 2.0
-MARGIN_S = 1.0
+# Time for which a refused group keeps its queue position without a retry.
+TICKET_LIFETIME_S = 2.0
+LEASE_MARGIN_S = 1.0
 
 
 @attrs.define
 class GroupHold:
-    """Engines that one group holds, until its lease ends."""
+    """Engines reserved by one group, until its lease ends."""
 
     engines: dict[str, int]
     until: float
@@ -19,7 +19,7 @@
 
 @attrs.define
 class Ticket:
-    """A refused group's place in line."""
+    """A refused group's queue position."""
 
     engines: frozenset[str]
     since: float
@@ -30,9 +30,9 @@
 class GroupLedger:
     """Grants groups of engines all or nothing, one group per engine.
 
-    A single table decides, so no two groups can each hold a part of what
-    the other needs. A refused group gets a ticket: later groups that want
-    one of its engines wait behind it, so it is not passed over for ever.
+    A single table decides, so two groups cannot deadlock by each holding
+    engines that the other needs. A refused group gets a ticket; later groups
+    that need one of its engines wait behind it, so it is not starved.
     """
 
     holds: dict[str, GroupHold] = attrs.Factory(dict)
@@ -41,22 +41,22 @@
     def reserve(
         self, request: messages.GroupReserve, now: float
     ) -> messages.GroupAnswer:
-        """Reserve or renew all engines of a group, or none of them."""
+        """Reserve or renew all engines of a group, or none."""
         self.expire(now)
-        busy = self.busy_for(request)
+        busy = self.unavailable_engines(request)
         if busy:
-            self.queue_ticket(request, now)
+            self.renew_ticket(request, now)
             return messages.GroupAnswer(
                 group=request.group, granted=False, busy=tuple(sorted(busy))
             )
         self.tickets.pop(request.group, None)
         self.holds[request.group] = GroupHold(
-            dict(request.engines), now + request.lease_s + MARGIN_S
+            dict(request.engines), now + request.lease_s + LEASE_MARGIN_S
         )
         return messages.GroupAnswer(group=request.group, granted=True)
 
-    def busy_for(self, request: messages.GroupReserve) -> set[str]:
-        """Return the wanted engines that others hold or come first for."""
+    def unavailable_engines(self, request: messages.GroupReserve) -> set[str]:
+        """Return engines held by other groups, or with an earlier ticket."""
         wanted = set(request.engines)
         busy: set[str] = set()
         for group, hold in self.holds.items():
@@ -64,35 +64,35 @@
                 busy |= wanted & set(hold.engines)
         if request.group in self.holds:
             return busy
-        mine = self.tickets.get(request.group)
+        own_ticket = self.tickets.get(request.group)
         for group, ticket in self.tickets.items():
-            earlier = mine is None or ticket.since < mine.since
+            earlier = own_ticket is None or ticket.since < own_ticket.since
             if group != request.group and earlier:
                 busy |= wanted & ticket.engines
         return busy
 
-    def queue_ticket(self, request: messages.GroupReserve, now: float) -> None:
-        """Give a refused group a place in line, or keep its place."""
+    def renew_ticket(self, request: messages.GroupReserve, now: float) -> None:
+        """Issue a ticket to a refused group, or renew it with its position."""
         known = self.tickets.get(request.group)
         since = known.since if known is not None else now
         self.tickets[request.group] = Ticket(
-            frozenset(request.engines), since, now + TICKET_S
+            frozenset(request.engines), since, now + TICKET_LIFETIME_S
         )
 
     def release(self, group: str) -> None:
-        """Free what a group holds."""
+        """Release the engines and the ticket of a group."""
         self.holds.pop(group, None)
         self.tickets.pop(group, None)
 
     def expire(self, now: float) -> None:
-        """Free the groups whose entry has stopped renewing."""
+        """Drop reservations and tickets whose lease has ended."""
         for table in (self.holds, self.tickets):
             for group, item in list(table.items()):
                 if item.until <= now:
                     del table[group]
 
-    def held_tokens(self, now: float) -> dict[str, int]:
-        """Return the tokens reserved on each engine."""
+    def reserved_tokens(self, now: float) -> dict[str, int]:
+        """Return the tokens reserved per engine."""
         self.expire(now)
         total: dict[str, int] = {}
         for hold in self.holds.values():
--- a/src/_coltsfootroad/control/messages.py
+++ b/src/_coltsfootroad/control/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between entries and the control state."""
+"""Messages between entries, operators and the control state."""
 
 import enum
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class PatchConfig:
-    """Change the configuration if its version is still `base_version`."""
+    """Patches the configuration if its version is still `base_version`."""
 
     patch_id: str
     base_version: int
@@ -25,14 +25,14 @@
 
 @attrs.frozen(kw_only=True)
 class PatchAnswer:
-    """Outcome of a patch: the new version, or why it was refused."""
+    """Outcome of a patch: the new version, or the reason for refusal."""
 
     version: int
     failure: errors.Failure | None = None
 
 
 class ClaimStatus(enum.Enum):
-    """What the control state says of a key."""
+    """Outcome of claiming an idempotency key."""
 
     GRANTED = "granted"
     IN_PROGRESS = "in_progress"
@@ -46,15 +46,15 @@
 
 @attrs.frozen(kw_only=True)
 class TakeClaim:
-    """Ask for the right to run a key.
+    """Requests the right to run an idempotency key.
 
     Attributes:
-        workspace: Keys are separate per workspace.
+        workspace: Namespace of the key.
         key: Idempotency key of the caller.
-        key_time: When the key was made, unix seconds.
-        body_hash: Hash of what is to be run.
-        token: Request id of the asker; resends of this message repeat it.
-        lease_s: Seconds after which the asker has surely given up.
+        key_time: When the caller created the key, in unix seconds.
+        body_hash: Hash of the request.
+        token: Request id of the claimant; resends of this message repeat it.
+        lease_s: Seconds after which the claimant has certainly stopped.
     """
 
     workspace: str
@@ -76,7 +76,7 @@
 
 @attrs.frozen(kw_only=True)
 class SettleClaim:
-    """Say how a claimed key ended; only the holder of the token may."""
+    """Records the outcome of a claimed key; needs the token of the claim."""
 
     workspace: str
     key: str
@@ -87,7 +87,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigUpdate:
-    """A configuration version, whole or as patches since `base_version`."""
+    """A configuration version: a document, or patches to `base_version`."""
 
     version: int
     document: bytes = b""
@@ -97,7 +97,7 @@
 
 @attrs.frozen(kw_only=True)
 class Holding:
-    """A share that an entry holds, for a new leader to learn of."""
+    """A share that an entry holds, reported for a new leader."""
 
     workspace: str
     grant: int
@@ -109,10 +109,10 @@
 
 @attrs.frozen(kw_only=True)
 class GroupReserve:
-    """Reserve memory on several engines, all or nothing.
+    """Reserves memory on several engines, all or nothing.
 
     `engines` maps engine names to tokens of KV cache. The reservation is a
-    lease; renewing it uses the same `group`.
+    lease; a request with the same `group` renews it.
     """
 
     group: str
@@ -123,7 +123,7 @@
 
 @attrs.frozen(kw_only=True)
 class GroupAnswer:
-    """Whether a reservation holds; otherwise which engines are taken."""
+    """Outcome of a reservation; `busy` names the engines not available."""
 
     group: str
     granted: bool
@@ -133,7 +133,7 @@
 
 @attrs.frozen(kw_only=True)
 class GroupRelease:
-    """End a reservation."""
+    """Ends a reservation."""
 
     group: str
 
@@ -148,17 +148,17 @@
 
 @attrs.frozen(kw_only=True)
 class SyncRequest:
-    """Heartbeat of an entry: who it is, what it knows, what it needs.
+    """Heartbeat of an entry.
 
     Attributes:
         member: The entry itself.
-        config_version: Version in force at the entry, -1 for none.
+        config_version: Configuration version at the entry, -1 for none.
         epoch: Epoch of the registry that `registry_mark` belongs to.
-        registry_mark: Position up to which the entry knows the registry.
+        registry_mark: Revision up to which the entry knows the registry.
         announcements: Announcements received since the last heartbeat.
         loads: Load reports received since the last heartbeat.
-        demands: What could be used of the limits.
-        holdings: Shares that are held.
+        demands: Demand for the workspaces' limits.
+        holdings: Shares that the entry holds.
     """
 
     member: addresses.Member
@@ -176,15 +176,15 @@
     """Answer to a heartbeat.
 
     Attributes:
-        epoch: Changes when the registry started anew.
-        registry_mark: Position that the entry knows after this reply.
-        config: Newer configuration, if there is one.
-        members: Live entries that changed since the entry's mark.
-        lost_members: Entries that are gone since the mark.
+        epoch: Identifies the leader and term that assigned `registry_mark`.
+        registry_mark: Revision that the entry knows after this reply.
+        config: Newer configuration, None if there is none.
+        members: Live entries that changed since the entry's revision.
+        lost_members: Entries removed since that revision.
         shares: New shares of the limits.
-        announcements: Endpoints changed since the entry's mark.
-        gone: Endpoints whose lease ended or that left, since the mark.
-        loads: Load reports since the mark.
+        announcements: Endpoints changed since that revision.
+        gone: Endpoints whose lease expired or that signed off since then.
+        loads: Load reports received since that revision.
         group_holds: Tokens reserved by groups, per engine.
     """
 
@@ -202,29 +202,29 @@
 
 @attrs.frozen(kw_only=True)
 class ReadConfig:
-    """Ask for the configuration document."""
+    """Requests the configuration document."""
 
 
 @attrs.frozen(kw_only=True)
 class ReadStatus:
-    """Ask for members, endpoints and replicas."""
+    """Requests the status of members, endpoints and replicas."""
 
 
 @attrs.frozen(kw_only=True)
 class Status:
-    """What the leader knows of the fleet, as JSON for operators."""
+    """Status of the fleet, as JSON for operators."""
 
     document: bytes
 
 
 @attrs.frozen(kw_only=True)
 class ReplicaHello:
-    """Ask a replica who it is."""
+    """Requests a replica's identity and Raft position."""
 
 
 @attrs.frozen(kw_only=True)
 class ReplicaInfo:
-    """Who a replica is and where it stands."""
+    """Identity and Raft position of a replica."""
 
     replica: replicas.Replica
     role: str
@@ -236,7 +236,7 @@
 
 
 class ReplicaAction(enum.Enum):
-    """How the set of replicas is to change."""
+    """Kinds of changes to the set of replicas."""
 
     LEARN = "learn"
     PROMOTE = "promote"
@@ -245,10 +245,10 @@
 
 @attrs.frozen(kw_only=True)
 class ChangeReplicas:
-    """Change the set of replicas.
+    """Changes the set of replicas.
 
-    `LEARN` adds `replica` without a vote, `PROMOTE` gives it one and takes
-    `replaces` out in the same step, `REMOVE` takes it out. `reason` is for
+    `LEARN` adds `replica` as a learner. `PROMOTE` makes it a voter and
+    removes `replaces` in the same step. `REMOVE` removes it. `reason` is for
     the log.
     """
 
@@ -260,12 +260,12 @@
 
 @attrs.frozen(kw_only=True)
 class TakeSnapshot:
-    """Ask for a copy of the whole state, for backup."""
+    """Requests a snapshot of the complete state, for backup."""
 
 
 @attrs.frozen(kw_only=True)
 class SnapshotCopy:
-    """The whole state at an index."""
+    """Snapshot of the complete state at a log index."""
 
     index: int
     data: bytes
@@ -273,9 +273,9 @@
 
 @attrs.frozen(kw_only=True)
 class PutRoutes:
-    """Put a complete version of the routes in force, if it is the highest.
+    """Puts a complete version of the routes in force, if it is the highest.
 
-    `source` is the document as the operator sent it, for reading back.
+    `source` is the document as the operator sent it, for `ReadRoutes`.
     """
 
     config: routes_lib.RouteConfig
@@ -284,7 +284,7 @@
 
 @attrs.frozen(kw_only=True)
 class ReadRoutes:
-    """Ask for the document of the version in force."""
+    """Requests the document of the version in force."""
 
 
 @attrs.frozen(kw_only=True)
@@ -297,20 +297,20 @@
 
 @attrs.frozen(kw_only=True)
 class Announce:
-    """An endpoint's announcement, on its way to the leader."""
+    """Forwards an endpoint's announcement to the leader."""
 
     announcement: registry.Announcement
 
 
 @attrs.frozen(kw_only=True)
 class JoinReplica:
-    """A replica without a vote asks for one."""
+    """Requests a vote for a replica that has none."""
 
     replica: replicas.Replica
 
 
 @attrs.frozen(kw_only=True)
 class LeaveReplica:
-    """A replica is about to stop; its vote is given up if it can be spared."""
+    """Announces that a replica stops; its vote is removed if possible."""
 
     replica: replicas.Replica
--- a/src/_coltsfootroad/control/retrylending.py
+++ b/src/_coltsfootroad/control/retrylending.py
@@ -1,8 +1,8 @@
-"""Lends the part of the retry slack that no gateway holds by itself.
+"""Lends the part of the retry slack that is not divided among gateways.
 
-A gateway asks for retries when its own part is used up, beside its requests.
-What is lent counts until the last moment at which it may arrive, and for a
-window after that.
+A gateway borrows retries when its own part is used up, without delaying its
+requests. A loan counts until the latest time at which its retries may arrive,
+plus one window.
 """
 
 import collections
@@ -13,31 +13,32 @@
 from _coltsfootroad.core import retryloans
 from _coltsfootroad.core import windowbudget
 
-# Part of the slack that is lent.
-LOAN_PART = 0.55
-# Clocks of VMs may run apart by this much over a loan and a window.
+# Fraction of the slack that is lent.
+LENDABLE_FRACTION = 0.55
+# Clock drift between VMs during a loan and a window.
 CLOCK_MARGIN_S = 0.5
-# Most that one loan takes of what is left, so that other gateways find some.
-LOAN_FRACTION = 0.25
-# A gateway that gets nothing asks again after this time at the soonest.
-MIN_RETRY_S = 0.5
-# Pause between gateways that got nothing and ask again, which bounds what all
-# of them cost the leader.
+# Maximum of one loan, as a fraction of what is available; the remainder is for
+# other gateways.
+MAX_LOAN_FRACTION = 0.25
+# Minimum delay before a refused gateway retries.
+MIN_RETRY_DELAY_S = 0.5
+# Interval between the retries of refused gateways, which limits the load on the
+# leader.
 RETRY_SPACING_S = 0.04
-# Services whose loans are kept; more of them get none.
+# Services with loans; further services get none.
 MAX_SERVICES = 4_096
 
 
 @attrs.frozen(kw_only=True)
 class BorrowRetries:
-    """Ask the leader for retries of a service.
+    """Requests retries of a service from the leader.
 
     Attributes:
-        gateway: Who asks.
-        service: Whose requests are to be sent again.
-        wanted: Retries that could be used now.
-        slack: Retries that the fleet may send in a window beyond the ratio.
-        window_s: Length of that window in seconds.
+        gateway: Name of the borrowing gateway.
+        service: Service whose requests are retried.
+        wanted: Retries that the gateway could send now.
+        slack: Retries per window allowed to the fleet beyond the ratio.
+        window_s: Length of the window in seconds.
     """
 
     gateway: str
@@ -49,15 +50,15 @@
 
 @attrs.frozen(kw_only=True)
 class RetriesLent:
-    """How many retries a gateway may send, and when to ask for more."""
+    """Number of retries lent, and the delay before the next request."""
 
     amount: int
     retry_after_s: float = 0.0
 
 
 @attrs.define
-class Lent:
-    """A loan and until when it counts."""
+class Loan:
+    """A loan, and the time until which it counts."""
 
     until: float
     amount: int
@@ -68,29 +69,29 @@
     """The loans of one service that count, oldest first.
 
     Attributes:
-        next_retry_at: When the next gateway that gets nothing may ask again.
+        next_retry_at: When the next refused gateway may retry.
     """
 
-    loans: collections.deque[Lent] = attrs.Factory(collections.deque)
+    loans: collections.deque[Loan] = attrs.Factory(collections.deque)
     amount: int = 0
     next_retry_at: float = 0.0
 
     def add(self, amount: int, until: float) -> None:
-        """Note a loan."""
-        self.loans.append(Lent(until, amount))
+        """Add a loan."""
+        self.loans.append(Loan(until, amount))
         self.amount += amount
 
     def refuse(self, until: float, now: float) -> RetriesLent:
-        """Return that nothing is lent, and when to ask again.
+        """Return a refusal with a retry delay.
 
-        Those that ask at once come back one after another.
+        Gateways that are refused at the same time get staggered delays.
         """
-        at = max(until, now + MIN_RETRY_S, self.next_retry_at)
-        self.next_retry_at = at + RETRY_SPACING_S
-        return RetriesLent(amount=0, retry_after_s=at - now)
+        retry_at = max(until, now + MIN_RETRY_DELAY_S, self.next_retry_at)
+        self.next_retry_at = retry_at + RETRY_SPACING_S
+        return RetriesLent(amount=0, retry_after_s=retry_at - now)
 
     def expire(self, now: float) -> None:
-        """Drop loans that no window holds any more."""
+        """Drop loans that are in no window any more."""
         while self.loans and self.loans[0].until <= now:
             self.amount -= self.loans.popleft().amount
 
@@ -99,37 +100,43 @@
 class RetryLender:
     """Lends retries within the slack of each service.
 
-    A leader does not know what the one before it has lent, and takes it for
-    all of the slack until that has left the window.
+    A new leader does not know the loans of the previous one. It assumes that
+    all of the slack was lent, until such loans have left the window.
 
     Attributes:
-        started_at: When it began to lead.
-        services: What is lent, by service.
+        started_at: When this replica became the leader.
+        services: Loans by service.
     """
 
     started_at: float
     services: dict[str, ServiceLoans] = attrs.Factory(dict)
 
     def lend(self, request: BorrowRetries, now: float) -> RetriesLent:
-        """Return what a gateway may send within `LOAN_S` of its request."""
-        hold_s = hold_time_s(request.window_s)
-        lent = self.loans_of(request.service, now)
-        if lent is None:
-            return RetriesLent(amount=0, retry_after_s=hold_s)
-        if now < self.started_at + hold_s:
-            return lent.refuse(self.started_at + hold_s, now)
-        lent.expire(now)
-        left = math.floor(request.slack * LOAN_PART) - lent.amount
-        if left < 1 or request.wanted < 1:
-            first = lent.loans[0].until if lent.loans else now + hold_s
-            return lent.refuse(first, now)
-        most = max(1, math.floor(left * LOAN_FRACTION))
-        amount = min(request.wanted, most)
-        lent.add(amount, now + hold_s)
+        """Return the retries that a gateway may send within `LOAN_S`."""
+        lifetime_s = loan_lifetime_s(request.window_s)
+        service_loans = self.loans_of(request.service, now)
+        if service_loans is None:
+            return RetriesLent(amount=0, retry_after_s=lifetime_s)
+        if now < self.started_at + lifetime_s:
+            return service_loans.refuse(self.started_at + lifetime_s, now)
+        service_loans.expire(now)
+        available = (
+            math.floor(request.slack * LENDABLE_FRACTION) - service_loans.amount
+        )
+        if available < 1 or request.wanted < 1:
+            earliest_end = (
+                service_loans.loans[0].until
+                if service_loans.loans
+                else now + lifetime_s
+            )
+            return service_loans.refuse(earliest_end, now)
+        max_loan = max(1, math.floor(available * MAX_LOAN_FRACTION))
+        amount = min(request.wanted, max_loan)
+        service_loans.add(amount, now + lifetime_s)
         return RetriesLent(amount=amount)
 
     def loans_of(self, service: str, now: float) -> ServiceLoans | None:
-        """Return the loans of a service, None for one service too many."""
+        """Return the loans of a service, None beyond `MAX_SERVICES`."""
         if service not in self.services:
             if len(self.services) >= MAX_SERVICES:
                 self.drop_unused(now)
@@ -139,21 +146,24 @@
         return self.services[service]
 
     def drop_unused(self, now: float) -> None:
-        """Forget services of which nothing is lent."""
-        for lent in self.services.values():
-            lent.expire(now)
+        """Drop services without loans."""
+        for service_loans in self.services.values():
+            service_loans.expire(now)
         self.services = {
-            service: lent
-            for service, lent in self.services.items()
-            if lent.amount
+            service: service_loans
+            for service, service_loans in self.services.items()
+            if service_loans.amount
         }
 
     def outstanding(self) -> dict[str, int]:
-        """Return the retries that are lent, by service."""
-        return {name: lent.amount for name, lent in self.services.items()}
+        """Return the retries lent, by service."""
+        return {
+            name: service_loans.amount
+            for name, service_loans in self.services.items()
+        }
 
 
-def hold_time_s(window_s: float) -> float:
-    """Return for how long a loan counts."""
-    on_the_way_s = retryloans.LOAN_S + windowbudget.ARRIVAL_LAG_S
-    return window_s + on_the_way_s + CLOCK_MARGIN_S
+def loan_lifetime_s(window_s: float) -> float:
+    """Return the time in seconds for which a loan counts."""
+    transit_s = retryloans.LOAN_S + windowbudget.ARRIVAL_LAG_S
+    return window_s + transit_s + CLOCK_MARGIN_S
--- a/src/_coltsfootroad/control/watching.py
+++ b/src/_coltsfootroad/control/watching.py
@@ -1,4 +1,4 @@
-"""How gateways and relays ask what is new, and what they are told."""
+"""Messages of the watch protocol between gateways, relays and the leader."""
 
 import attrs
 
@@ -12,13 +12,13 @@
 
 @attrs.frozen(kw_only=True)
 class Relay:
-    """A process of the control state that tells gateways what is new.
+    """A control process that publishes changes to gateways.
 
     Attributes:
         name: Name of the process.
-        incarnation: Grows with every start.
+        incarnation: Grows with each start of the process.
         address: `ip:port` for gateways.
-        availability_zone: Where it runs.
+        availability_zone: Availability zone of the process.
     """
 
     name: str
@@ -29,19 +29,19 @@
 
 @attrs.frozen(kw_only=True)
 class Watch:
-    """Ask for what is new; the answer may be held back for `wait_s`.
+    """A gateway's long poll for changes; a response may take `wait_s`.
 
     Attributes:
         member: The gateway itself.
-        attachment: How many times the gateway has chosen whom to ask.
-        routes_version: Version in force at the gateway, -1 for none.
+        attachment: Number of times that the gateway has chosen a relay.
+        routes_version: Route version in force at the gateway, -1 for none.
         epoch: Epoch of the registry that `registry_mark` belongs to.
-        registry_mark: Position up to which the gateway knows the registry.
-        announcements: What the gateway knows of endpoints, for a leader
-            that is new and has to learn it again.
-        wait_s: Seconds for which an answer without news may be held back.
-        knows_relays: Whether it knows any; one that does not is told of those
-            in its availability zone first.
+        registry_mark: Revision up to which the gateway knows the registry.
+        announcements: Announcements that the gateway holds, for a new leader
+            that has to rebuild the registry.
+        wait_s: Seconds for which a response without changes may be delayed.
+        knows_relays: Whether the gateway knows any relay. One that knows none
+            is redirected to the relays of its availability zone.
     """
 
     member: addresses.Member
@@ -56,27 +56,30 @@
 
 @attrs.frozen(kw_only=True)
 class Attached:
-    """A gateway that asks a relay; a later attachment is to another one."""
+    """A gateway that watches a relay.
+
+    A gateway that changes to another relay raises `attachment`.
+    """
 
     member: addresses.Member
     attachment: int = 0
 
     @property
     def order(self) -> tuple[int, int]:
-        """Return what tells later attachments from earlier ones."""
+        """Return the key by which later attachments sort after earlier ones."""
         return (self.member.incarnation, self.attachment)
 
 
 @attrs.frozen(kw_only=True)
 class RelayWatch:
-    """A relay's question to the leader, and what its gateways told it.
+    """A relay's long poll of the leader, with reports of its gateways.
 
     Attributes:
         relay: The relay itself.
-        attached: Gateways that began to ask it or changed, not told yet.
-        detached: Gateways that ask it no longer, not told yet.
-        complete: Whether `attached` are all that ask it.
-        routes_version: As in `Watch`; so are the fields below.
+        attached: Gateways that attached or changed and are not reported yet.
+        detached: Gateways that detached and are not reported yet.
+        complete: Whether `attached` lists all gateways that watch the relay.
+        routes_version: As in `Watch`, like the fields below.
     """
 
     relay: Relay
@@ -92,33 +95,33 @@
 
 @attrs.frozen(kw_only=True)
 class AskElsewhere:
-    """A gateway is to ask one of these relays of its own zone instead."""
+    """Redirects a gateway to the relays of its own availability zone."""
 
     relays: tuple[Relay, ...]
 
 
 @attrs.frozen(kw_only=True)
 class Changes:
-    """What changed in the fleet, and how it is to be taken.
+    """Changes in the fleet, and how to apply them.
 
     Attributes:
-        whole: Whether nothing that the asker knew counts any more: the leader
-            does not know what was told before it.
-        more: Whether this is a part of what is new; the rest comes at once.
-        wants_complete: Whether a relay is to tell of all its gateways again.
-        continued: Earlier epochs whose positions count under this one, up to
-            the position given for each; told with the first answer of an epoch.
-        members: Live gateways that are new or changed.
-        lost_members: Gateways that are gone.
-        announcements: Endpoints that are new or changed.
-        gone: Endpoints whose lease ended.
-        left: Endpoints that signed off, for good.
-        relays: Relays that are new or changed.
-        lost_relays: Relays that are gone.
-        quarantined: Requests to refuse that are new or changed.
-        released: Requests that are no longer refused.
-        suspected: Requests of which each answer is to be reported.
-        unsuspected: Requests of which none is any longer.
+        whole: Whether this replaces all state of the watcher: the leader does
+            not know what an earlier leader published.
+        more: Whether more changes follow in the next response at once.
+        wants_complete: Whether the relay must report all its gateways again.
+        continued: Earlier epochs whose revisions are valid in this epoch, each
+            up to the revision given; sent with the first response of an epoch.
+        members: Live gateways, new or changed.
+        lost_members: Gateways that were removed.
+        announcements: Endpoints, new or changed.
+        gone: Endpoints whose lease expired.
+        left: Sign-offs of endpoints that left for good.
+        relays: Relays, new or changed.
+        lost_relays: Relays that were removed.
+        quarantined: Quarantined requests, new or changed.
+        released: Requests that left the quarantine.
+        suspected: Suspected requests, whose answers gateways report.
+        unsuspected: Requests that are no longer suspected.
     """
 
     whole: bool = False
@@ -143,21 +146,21 @@
 
 @attrs.frozen(kw_only=True)
 class News:
-    """What is new since a watch, and the proof that the version is current.
+    """Response to a watch: changes, and proof that the routes are current.
 
-    Most answers hold nothing but the proof, so what they leave out takes no
-    more than a name each.
+    Most responses hold only the proof. Fields without a value add no more than
+    their names to the message.
 
     Attributes:
-        epoch: Changes when another leader keeps the registry.
-        registry_mark: Position that the asker knows after this.
-        proof_age_s: Seconds since the version was surely current; counted from
-            when the question was sent that the leader answered.
-        registry_age_s: Seconds since the leader began to hear endpoints.
-        routes: Newer version of the routes, if it has to be told whole.
-        routes_delta: Changes to a newer version of the routes.
-        told: What changed in the fleet since the mark, None for nothing.
-        replicas: Addresses of the replicas of the control state.
+        epoch: Identifies the leader and term that assigned `registry_mark`.
+        registry_mark: Revision that the watcher knows after this response.
+        proof_age_s: Seconds since the route version was known to be current,
+            counted from when the request was sent that the leader answered.
+        registry_age_s: Seconds since the leader began to receive announcements.
+        routes: Newer version of the routes, if no delta is available.
+        routes_delta: Delta to a newer version of the routes.
+        told: Changes since the revision requested, None for none.
+        replicas: Addresses of the control replicas.
     """
 
     epoch: str
@@ -171,10 +174,10 @@
 
     @property
     def changes(self) -> Changes:
-        """Return what changed in the fleet."""
+        """Return the changes in the fleet."""
         return self.told or NO_CHANGES
 
     @property
     def is_empty(self) -> bool:
-        """Return whether there is nothing that the asker has to take."""
+        """Return whether there are no changes to apply."""
         return not (self.routes or self.routes_delta or self.told)
