--- a/features/control/relays.feature
+++ b/features/control/relays.feature
@@ -1,70 +1,70 @@
-Feature: Gateways are told by relays of their zone, and proofs keep their age
+Feature: Relays serve the gateways of their zone, and proofs keep their age
 
-  Scenario: Whatever happens to relays, replicas and ways, nothing old is proved
-    Then in 120 drawn histories no withdrawn version is served past its bound
-    And after each of them everybody knows everything 6 s after it has calmed
+  Scenario: No fault of relays, replicas or links makes an old version count as current
+    Then in 120 random histories no withdrawn version is served past its bound
+    And after each history all gateways are up to date 6 s after the last fault
 
-  Scenario Outline: A planted defect shows: <defect>
+  Scenario Outline: A planted defect is detected: <defect>
     When the defect "<defect>" is planted
-    Then a drawn or directed history fails
+    Then a random or directed history fails
 
     Examples:
-      | defect                                            |
-      | a relay dates the proof anew                      |
-      | a relay dates the proof when the answer comes     |
-      | relays answer each other's questions              |
-      | a late report of a gateway that moved counts      |
-      | a leader that takes over tells nobody of lost ones |
-      | a gateway stays with a relay that is behind       |
+      | defect                                                   |
+      | a relay resets the age of the proof                      |
+      | a relay dates the proof at the arrival of the response   |
+      | relays answer watches of other relays                    |
+      | a late report of a former relay is accepted              |
+      | a new leader never reports members lost with the old one |
+      | a gateway stays attached to a relay that is behind       |
 
-  Scenario Outline: A relay <that> is left within <seconds> s
-    Given 6 gateways that watch, each asking a relay of its zone
-    When the relay of zone za <that>
+  Scenario Outline: Gateways leave a relay that <fault> within <seconds> s
+    Given 6 gateways that each watch a relay of their zone
+    When the relay of zone za <fault>
     Then after <seconds> s the gateways of zone za have a proof of at most <age> s
-    And no gateway was lost meanwhile
+    And no gateway was reported lost
 
     Examples:
-      | that                        | seconds | age |
-      | dies                        | 1.0     | 1.3 |
-      | stands still                | 1.8     | 1.5 |
+      | fault                       | seconds | age |
+      | crashes                     | 1.0     | 1.3 |
+      | is frozen                   | 1.8     | 1.5 |
       | is cut off from the leader  | 3.0     | 1.5 |
       | is cut off from its zone    | 1.8     | 1.5 |
 
-  Scenario Outline: A change is in force everywhere <when>, within <seconds> s
-    Given 6 gateways that watch, each asking a relay of its zone
+  Scenario Outline: A version put <when> is in force at all gateways within <seconds> s
+    Given 6 gateways that each watch a relay of their zone
     When a version is put <when>
     Then it is in force at all gateways within <seconds> s
 
     Examples:
       | when                         | seconds |
-      | in calm                      | 0.1     |
+      | without faults               | 0.1     |
       | as the leader is lost        | 2.5     |
-      | as all relays die            | 1.5     |
+      | as all relays crash          | 1.5     |
 
-  Scenario: A leader that takes over need not tell anybody everything again
-    Given 60 gateways that watch, each asking a relay of its zone
+  Scenario: A change of leader sends gateways changes only, not the complete state
+    Given 60 gateways that each watch a relay of their zone
     When another replica takes over
-    Then no gateway is told of more than 10 members anew
-    And no gateway was lost meanwhile
+    Then no gateway receives more than 10 members again
+    And no gateway was reported lost
 
-  Scenario: A newcomer that asks in another zone is sent to its own
-    Given 6 gateways that watch, each asking a relay of its zone
+  Scenario: A new gateway that watches another zone is redirected to its own
+    Given 6 gateways that each watch a relay of their zone
     When a gateway of each zone starts that knows one replica only
-    Then each asks a process of its own zone after 1 s
+    Then each watches a process of its own zone after 1 s
 
-  Scenario: The leader is asked by relays, not by the gateways of other zones
-    Given 60 gateways that watch, each asking a relay of its zone
-    When 5 s go by
-    Then the leader has answered at most half of the questions of gateways
+  Scenario: Relays relieve the leader of the gateways of other zones
+    Given 60 gateways that each watch a relay of their zone
+    When 5 s pass
+    Then the leader has answered at most half as many watches as gateways sent
 
-  Scenario: A book tells a page at a time and goes on where an answer was lost
-    Given a book of 1300 endpoints
-    When somebody who knows nothing asks and every second answer is lost
-    Then it knows all of them after 6 answers of at most 500
+  Scenario: Changes come in pages, and a lost response costs one page
+    Given a fleet state of 1300 endpoints
+    When a new watcher requests changes and every second response is lost
+    Then it knows all endpoints after 6 responses of at most 500 endpoints
 
-  Scenario: All of control starts again and gateways bring what they know
-    Given 6 gateways that watch, each asking a relay of its zone
-    And 8 endpoints that are known
-    When all processes of control start again at once
-    Then each gateway uses all 8 endpoints all the while
-    And a new leader knows all 8 after 1.5 s although none announces itself
+  Scenario: Gateways report endpoints to control after a cold restart
+    Given 6 gateways that each watch a relay of their zone
+    And 8 endpoints that have announced themselves
+    When all control processes restart at once
+    Then each gateway keeps using all 8 endpoints
+    And the new leader knows all 8 after 1.5 s without new announcements
--- a/features/steps/promises_steps.py
+++ b/features/steps/promises_steps.py
@@ -275,4 +275,4 @@
 
 @then("none of them called the version before it current meanwhile")
 def not_current(context):
-    assert max(context.proved) <= relayworld.TRAVEL_S * 4, context.proved
+    assert max(context.proved) <= relayworld.ONE_WAY_DELAY_S * 4, context.proved
--- a/features/steps/proofs_steps.py
+++ b/features/steps/proofs_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what watchers of the routes count as current."""
+"""Steps for the route versions that watchers count as current."""
 
 from unittest import mock
 
@@ -18,19 +18,19 @@
 from features.support import virtualloop
 
 NONE = routes.NO_VERSION
-ASKED_AT_S = 2_000.0
+REQUESTED_AT_S = 2_000.0
 RELAY = relayhistories.RELAY
 FROZEN_S = 8.0
 OBSERVED_S = 4.0
 
 
 def number(text: str) -> int:
-    """Return a version of a table."""
+    """Return the version that a table cell names."""
     return NONE if text == "none" else int(text)
 
 
 def response(text: str) -> watching.News:
-    """Return the response that a table names."""
+    """Return the response that a table cell names."""
     kind, *rest = text.split()
     empty = watching.News(epoch="e/1", registry_mark=1)
     if kind == "snapshot":
@@ -42,7 +42,7 @@
 
 
 class GatewayWatcher:
-    """A gateway, as far as it follows the version in force."""
+    """A gateway, reduced to its watch of the routes."""
 
     def __init__(self, held: int):
         self.gateway = gatewaybed.Bed.without_sockets("g1", "za")
@@ -51,10 +51,10 @@
             self.gateway.adopt(gatewaybed.config(held))
         self.watch = watch_lib.Watch(self.gateway)
 
-    def receive(self, asked: int, news: watching.News) -> None:
-        """Take a response to a request that named a version."""
-        question = attrs.evolve(self.watch.question(), routes_version=asked)
-        self.watch.take(question, news, ASKED_AT_S)
+    def receive(self, requested: int, news: watching.News) -> None:
+        """Apply a response to a request from a given version."""
+        question = attrs.evolve(self.watch.question(), routes_version=requested)
+        self.watch.take(question, news, REQUESTED_AT_S)
 
     @property
     def version(self) -> int:
@@ -62,29 +62,29 @@
         return self.gateway.view.version
 
     @property
-    def proved_at(self) -> float:
-        """Return when the version held was surely current."""
+    def confirmed_at(self) -> float:
+        """Return when the version held was known to be current."""
         return self.gateway.view.confirmed_at
 
     @property
-    def asks_from(self) -> int:
-        """Return the version that the next request names."""
+    def next_base_version(self) -> int:
+        """Return the version from which the next request asks for changes."""
         return self.watch.question().routes_version
 
 
 class RelayWatcher:
-    """A relay, as far as it follows the version in force."""
+    """A relay, reduced to its watch of the routes."""
 
     def __init__(self, held: int):
         self.watch_cache = watchcache.WatchCache(RELAY)
         if held != NONE:
             self.watch_cache.routes.adopt(gatewaybed.config(held))
 
-    def receive(self, asked: int, news: watching.News) -> None:
-        """Take a response to a request that named a version."""
-        request = watching.RelayWatch(relay=RELAY, routes_version=asked)
+    def receive(self, requested: int, news: watching.News) -> None:
+        """Apply a response to a request from a given version."""
+        request = watching.RelayWatch(relay=RELAY, routes_version=requested)
         self.watch_cache.apply_response(
-            request, news, ASKED_AT_S, ASKED_AT_S + 0.01
+            request, news, REQUESTED_AT_S, REQUESTED_AT_S + 0.01
         )
 
     @property
@@ -93,14 +93,14 @@
         return self.watch_cache.routes.version
 
     @property
-    def proved_at(self) -> float:
-        """Return when the version held was surely current."""
+    def confirmed_at(self) -> float:
+        """Return when the version held was known to be current."""
         return self.watch_cache.confirmed_at
 
     @property
-    def asks_from(self) -> int:
-        """Return the version that the next request names."""
-        return self.watch_cache.next_request(ASKED_AT_S, 0.0).routes_version
+    def next_base_version(self) -> int:
+        """Return the version from which the next request asks for changes."""
+        return self.watch_cache.next_request(REQUESTED_AT_S, 0.0).routes_version
 
 
 WATCHERS = {"gateway": GatewayWatcher, "relay": RelayWatcher}
@@ -111,38 +111,38 @@
     context.watcher = WATCHERS[kind](number(held))
 
 
-@when("it asked from version {asked} and gets {what}")
-def gets(context, asked, what):
-    context.watcher.receive(number(asked), response(what))
+@when("it requested changes from version {requested} and gets {what}")
+def receive_response(context, requested, what):
+    context.watcher.receive(number(requested), response(what))
 
 
-@then("its version is {version} and it is {current}")
-def holds(context, version, current):
+@then("its version is {version} and it is {state}")
+def check_version(context, version, state):
     assert context.watcher.version == number(version), context.watcher.version
-    is_proved = context.watcher.proved_at == ASKED_AT_S
-    assert is_proved == (current == "proved"), context.watcher.proved_at
+    is_confirmed = context.watcher.confirmed_at == REQUESTED_AT_S
+    assert is_confirmed == (state == "current"), context.watcher.confirmed_at
 
 
-@then("it asks from version {version} the next time")
-def asks_from(context, version):
-    assert context.watcher.asks_from == number(version)
+@then("it requests changes from version {version} the next time")
+def requests_from(context, version):
+    assert context.watcher.next_base_version == number(version)
 
 
 # --- deposed leaders ---------------------------------------------------------
 
 
-@when("the leader stands still while another one takes a version")
-def leader_stands_still(context):
+@when("the leader is frozen while its successor takes a version")
+def leader_is_frozen(context):
     depose(context.world, context.go)
 
 
-@then("the gateways that reach only the deposed leader have no proof from it")
+@then("the gateways that reach only the deposed leader get no proof from it")
 def no_proof(context):
     check_deposed(context.world, context.go)
 
 
 def depose(world, go) -> None:
-    """Freeze the leader, and leave the gateways of its zone nobody else."""
+    """Freeze the leader and cut its zone's gateways off from other processes."""
     assert world.leader().name == "replica-0"
     world.isolate("replica-0")
     for name, gateway in world.gateways.items():
@@ -157,16 +157,16 @@
 
 
 def check_deposed(world, go) -> None:
-    """Check that a deposed leader that runs again proves nothing."""
+    """Check that a deposed leader that runs again confirms no version."""
     put_at = world.acked[-1][0]
     go(FROZEN_S + OBSERVED_S)
-    near = [
+    zone_views = [
         gateway.view
         for gateway in world.gateways.values()
         if gateway.settings.availability_zone == "za"
     ]
-    assert near
-    for view in near:
+    assert zone_views
+    for view in zone_views:
         assert view.version < world.acked[-1][1]
         assert view.confirmed_at < put_at, view.confirmed_at - put_at
 
@@ -194,7 +194,7 @@
 def watched_relay(context, incarnation, attachment):
     context.watch_cache = watchcache.WatchCache(RELAY)
     context.watch_cache.renew_watcher(
-        request(incarnation, attachment), ASKED_AT_S
+        request(incarnation, attachment), REQUESTED_AT_S
     )
     context.lease_end = context.watch_cache.watchers["g"].until
 
@@ -205,7 +205,7 @@
 )
 def late_request(context, incarnation, attachment):
     late = request(incarnation, attachment)
-    context.watch_cache.renew_watcher(late, ASKED_AT_S + 1.0)
+    context.watch_cache.renew_watcher(late, REQUESTED_AT_S + 1.0)
 
 
 @then(
@@ -214,7 +214,7 @@
 )
 def reports(context, incarnation, attachment):
     (reported,) = context.watch_cache.next_request(
-        ASKED_AT_S + 1.0, 0.0
+        REQUESTED_AT_S + 1.0, 0.0
     ).attached
     assert reported.order == (incarnation, attachment), reported.order
 
@@ -226,27 +226,27 @@
 
 # --- defects -----------------------------------------------------------------
 
-RIGHT_STEP_DOWN = watchcache.WatchCache.step_down
+ORIGINAL_STEP_DOWN = watchcache.WatchCache.step_down
 
 
-def proves_misfit(right):
-    """Return a change of `take_routes` that counts a misfit as a proof."""
+def accepts_unfit_delta(original):
+    """Return a defective function that confirms the version in any case."""
 
-    def take_routes(self, *response):
-        right(self, *response)
+    def confirm_always(self, *response):
+        original(self, *response)
         return True
 
-    return take_routes
+    return confirm_always
 
 
-def proves_stepping_down(self, registry_since, now):
-    """Count the version held as current at the end of the own term."""
-    RIGHT_STEP_DOWN(self, registry_since, now)
+def confirms_at_step_down(self, registry_since, now):
+    """Confirm the version held when stepping down."""
+    ORIGINAL_STEP_DOWN(self, registry_since, now)
     self.confirmed_at = now
 
 
-def takes_any_watcher(self, request, now):
-    """Take a request whatever is known of the gateway."""
+def accepts_any_request(self, request, now):
+    """Accept a request without comparing attachments."""
     attached = watching.Attached(
         member=request.member, attachment=request.attachment
     )
@@ -256,16 +256,16 @@
     )
 
 
-def check_misfit(kind: str) -> None:
-    """Check that a delta that does not fit proves nothing."""
+def check_unfit_delta(kind: str) -> None:
+    """Check that a delta that does not fit confirms no version."""
     with virtualloop.virtual_time():
         subject = WATCHERS[kind](2)
         subject.receive(2, response("delta 3 to 4"))
-        assert subject.proved_at != ASKED_AT_S
+        assert subject.confirmed_at != REQUESTED_AT_S
 
 
-def check_stepping_down() -> None:
-    """Check that a deposed leader proves nothing."""
+def check_deposed_leader() -> None:
+    """Check that a deposed leader confirms no version."""
     with relayhistories.fleet(4) as (world, go):
         depose(world, go)
         check_deposed(world, go)
@@ -274,47 +274,47 @@
 def check_late_request() -> None:
     """Check that a late request changes nothing."""
     watch_cache = watchcache.WatchCache(RELAY)
-    watch_cache.renew_watcher(request(2, 3), ASKED_AT_S)
-    watch_cache.renew_watcher(request(2, 2), ASKED_AT_S)
+    watch_cache.renew_watcher(request(2, 3), REQUESTED_AT_S)
+    watch_cache.renew_watcher(request(2, 2), REQUESTED_AT_S)
     assert watch_cache.watchers["g"].attached.order == (2, 3)
 
 
 DEFECTS = {
-    "a relay proves the version held when a delta does not fit": (
+    "a relay confirms its version when a delta does not fit": (
         watchcache.WatchCache,
         "apply_routes",
-        proves_misfit(watchcache.WatchCache.apply_routes),
-        lambda: check_misfit("relay"),
+        accepts_unfit_delta(watchcache.WatchCache.apply_routes),
+        lambda: check_unfit_delta("relay"),
     ),
-    "a gateway proves the version held when a delta does not fit": (
+    "a gateway confirms its version when a delta does not fit": (
         watch_lib.Watch,
         "take_routes",
-        proves_misfit(watch_lib.Watch.take_routes),
-        lambda: check_misfit("gateway"),
+        accepts_unfit_delta(watch_lib.Watch.take_routes),
+        lambda: check_unfit_delta("gateway"),
     ),
-    "a deposed leader proves its routes from when it stepped down": (
+    "a deposed leader confirms its routes when it steps down": (
         watchcache.WatchCache,
         "step_down",
-        proves_stepping_down,
-        check_stepping_down,
+        confirms_at_step_down,
+        check_deposed_leader,
     ),
-    "a relay takes a request of an earlier attachment": (
+    "a relay accepts a request of an earlier attachment": (
         watchcache.WatchCache,
         "renew_watcher",
-        takes_any_watcher,
+        accepts_any_request,
         check_late_request,
     ),
 }
 
 
 @when('the proof defect "{label}" is planted')
-def planted(context, label):
+def plant_defect(context, label):
     context.defect = DEFECTS[label]
 
 
 @then("a scenario of this feature fails")
-def caught(context):
-    owner, name, wrong, check = context.defect
+def detected(context):
+    owner, name, defective, check = context.defect
     check()
-    with mock.patch.object(owner, name, wrong):
-        assert relayhistories.broke(check), "the defect was not noticed"
+    with mock.patch.object(owner, name, defective):
+        assert relayhistories.fails_check(check), "the defect was not noticed"
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -1,4 +1,4 @@
-"""Steps on relays, in virtual time."""
+"""Steps for relays, in virtual time."""
 
 from unittest import mock
 
@@ -15,48 +15,48 @@
 
 
 @then(
-    "in {count:d} drawn histories no withdrawn version is served past its bound"
+    "in {count:d} random histories no withdrawn version is served past its bound"
 )
-def histories(context, count):
-    relayhistories.draw_histories(count)
+def run_random(context, count):
+    relayhistories.run_random_histories(count)
 
 
 @then(
-    "after each of them everybody knows everything {seconds:g} s after it has calmed"
+    "after each history all gateways are up to date {seconds:g} s after the last fault"
 )
-def calm(context, seconds):
-    """Each history ends with that check; reaching this step is the proof."""
-    assert seconds == relayhistories.CALM_S
+def check_convergence_time(context, seconds):
+    """Each history ends with this check, so the step compares the time only."""
+    assert seconds == relayhistories.CONVERGENCE_S
 
 
 @when('the defect "{label}" is planted')
-def planted(context, label):
+def plant_defect(context, label):
     context.defect = relayhistories.DEFECTS[label]
 
 
-@then("a drawn or directed history fails")
-def fails(context):
-    owner, name, wrong = context.defect
-    with mock.patch.object(owner, name, wrong):
+@then("a random or directed history fails")
+def history_fails(context):
+    owner, name, defective = context.defect
+    with mock.patch.object(owner, name, defective):
         for history in relayhistories.DIRECTED:
-            if relayhistories.broke(history):
+            if relayhistories.fails_check(history):
                 return
         phases = (Phase.generate,)
-        assert relayhistories.broke(
-            lambda: relayhistories.draw_histories(60, phases)
+        assert relayhistories.fails_check(
+            lambda: relayhistories.run_random_histories(60, phases)
         ), "nothing failed"
 
 
 # --- directed ----------------------------------------------------------------
 
 
-@given("{count:d} gateways that watch, each asking a relay of its zone")
+@given("{count:d} gateways that each watch a relay of their zone")
 def watching_fleet(context, count):
     manager = relayhistories.fleet(count)
     context.world, context.go = manager.__enter__()
     context.add_cleanup(manager.__exit__, None, None, None)
     for gateway in context.world.gateways.values():
-        process = relayhistories.asked(context.world, gateway)
+        process = relayhistories.watched_process(context.world, gateway)
         assert process.zone == gateway.settings.availability_zone, process.name
 
 
@@ -69,31 +69,31 @@
     "after {seconds:g} s the gateways of zone za have a proof of at most"
     " {age:g} s"
 )
-def left(context, seconds, age):
-    relayhistories.left_in_time(context.what, seconds, age)
+def check_failover(context, seconds, age):
+    relayhistories.check_relay_failover(context.what, seconds, age)
 
 
-@then("no gateway was lost meanwhile")
+@then("no gateway was reported lost")
 def none_lost(context):
-    """`left_in_time` and the step on taking over check it."""
+    """`check_relay_failover` checks it itself; the leader change sets `lost`."""
     lost = getattr(context, "lost", set())
     assert not lost, lost
 
 
-@when("a version is put in calm")
-def in_calm(context):
+@when("a version is put without faults")
+def put_without_faults(context):
     context.world.put_version()
 
 
 @when("a version is put as the leader is lost")
-def leader_lost(context):
+def put_as_leader_lost(context):
     context.world.put_version()
     context.world.processes["replica-0"].stop()
     context.world.lose_leader(0.9)
 
 
-@when("a version is put as all relays die")
-def relays_die(context):
+@when("a version is put as all relays crash")
+def put_as_relays_crash(context):
     context.world.put_version()
     for name in ("relay-0", "relay-1", "relay-2"):
         context.world.processes[name].stop()
@@ -111,33 +111,35 @@
 
 
 @when("another replica takes over")
-def takes_over(context):
+def change_leader(context):
     world = context.world
-    context.told = {}
+    context.received = {}
     for name, gateway in world.gateways.items():
         view = gateway.view.member_view
-        context.told[name] = 0
-        right = view.learn
+        context.received[name] = 0
+        original = view.learn
 
-        def learn(changed, *rest, name=name, right=right):
-            context.told[name] += len(changed)
-            right(changed, *rest)
+        def learn(changed, *rest, name=name, original=original):
+            context.received[name] += len(changed)
+            original(changed, *rest)
 
         gateway.view.member_view = mock.Mock(wraps=view)
         gateway.view.member_view.learn = learn
         gateway.view.member_view.known = view.known
     world.lose_leader(0.4)
     world.processes["replica-0"].stop()
-    context.lost = relayhistories.run_and_watch_members(world, context.go, 4.0)
+    context.lost = relayhistories.run_and_find_lost_members(
+        world, context.go, 4.0
+    )
 
 
-@then("no gateway is told of more than {most:d} members anew")
-def told_few(context, most):
-    assert max(context.told.values()) <= most, context.told
+@then("no gateway receives more than {most:d} members again")
+def received_few(context, most):
+    assert max(context.received.values()) <= most, context.received
 
 
 @when("a gateway of each zone starts that knows one replica only")
-def newcomers(context):
+def start_new_gateways(context):
     world = context.world
 
     async def start():
@@ -152,17 +154,17 @@
     world.loop.run_until_complete(start())
 
 
-@then("each asks a process of its own zone after {seconds:g} s")
+@then("each watches a process of its own zone after {seconds:g} s")
 def own_zone(context, seconds):
     context.go(seconds)
     for gateway in context.new:
-        process = relayhistories.asked(context.world, gateway)
+        process = relayhistories.watched_process(context.world, gateway)
         assert process.zone == gateway.settings.availability_zone, process.name
         assert gateway.view.version == context.world.acked[-1][1]
 
 
-@when("{seconds:g} s go by")
-def go_by(context, seconds):
+@when("{seconds:g} s pass")
+def count_requests(context, seconds):
     context.leader = context.world.leader().name
     context.answered = []
     for process in context.world.processes.values():
@@ -171,24 +173,24 @@
 
 
 def count_answers(answered, process):
-    """Note what a process is relayhistories.asked, and by whom."""
-    right = process.desk.answer
+    """Record the types of the requests that a process answers."""
+    original = process.desk.answer
 
-    async def answer(question):
-        answered.append((process.name, type(question)))
-        return await right(question)
+    async def answer(request):
+        answered.append((process.name, type(request)))
+        return await original(request)
 
     process.desk.answer = answer
 
 
-@then("the leader has answered at most half of the questions of gateways")
+@then("the leader has answered at most half as many watches as gateways sent")
 def answered(context):
     of_gateways = [
         who for who, kind in context.answered if kind is watching.Watch
     ]
-    leaders = [who for who, _ in context.answered if who == context.leader]
-    assert 0 < len(leaders) <= len(of_gateways) / 2, (
-        len(leaders),
+    by_leader = [who for who, _ in context.answered if who == context.leader]
+    assert 0 < len(by_leader) <= len(of_gateways) / 2, (
+        len(by_leader),
         len(of_gateways),
     )
 
@@ -196,8 +198,8 @@
 # --- pages -------------------------------------------------------------------
 
 
-@given("a book of {count:d} endpoints")
-def book_of(context, count):
+@given("a fleet state of {count:d} endpoints")
+def fleet_state_of(context, count):
     context.fleet_state = fleetstate.FleetState()
     context.fleet_state.start_epoch("e/1")
     for number in range(count):
@@ -208,8 +210,8 @@
         )
 
 
-@when("somebody who knows nothing asks and every second answer is lost")
-def asks_in_pages(context):
+@when("a new watcher requests changes and every second response is lost")
+def request_pages(context):
     epoch, revision = "", 0
     context.known, context.sizes = set(), []
     for number in range(6):
@@ -222,25 +224,28 @@
         assert page.changes.more == (len(context.known) < 1300)
 
 
-@then("it knows all of them after {answers:d} answers of at most {most:d}")
+@then(
+    "it knows all endpoints after {answers:d} responses of at most {most:d}"
+    " endpoints"
+)
 def knows_all(context, answers, most):
     assert len(context.sizes) == answers
     assert max(context.sizes) <= most, context.sizes
     assert len(context.known) == 1300, len(context.known)
 
 
-# --- all of control starts again ---------------------------------------------
+# --- cold restart ------------------------------------------------------------
 
 
-@given("{count:d} endpoints that are known")
+@given("{count:d} endpoints that have announced themselves")
 def known_endpoints(context, count):
     for number in range(count):
         context.world.announce(f"e{number}")
     context.go(0.5)
 
 
-@when("all processes of control start again at once")
-def all_start_again(context):
+@when("all control processes restart at once")
+def restart_all(context):
     world = context.world
     world.renew_endpoints = lambda: None
     for process in world.processes.values():
@@ -254,8 +259,8 @@
     world.no_leader_until = world.now + 0.4
 
 
-@then("each gateway uses all {count:d} endpoints all the while")
-def all_the_while(context, count):
+@then("each gateway keeps using all {count:d} endpoints")
+def keeps_using(context, count):
     for _ in range(15):
         context.go(0.1)
         for name, gateway in context.world.gateways.items():
@@ -264,8 +269,8 @@
 
 
 @then(
-    "a new leader knows all {count:d} after {seconds:g} s although none"
-    " announces itself"
+    "the new leader knows all {count:d} after {seconds:g} s without new"
+    " announcements"
 )
 def leader_knows(context, count, seconds):
     del seconds
--- a/features/support/crashworld.py
+++ b/features/support/crashworld.py
@@ -69,7 +69,7 @@
 
     async def call(self, request, sink, _reuse, may_send) -> upstream.CallEnd:
         """Carry a request to the engine that listens at the address."""
-        await asyncio.sleep(relayworld.TRAVEL_S)
+        await asyncio.sleep(relayworld.ONE_WAY_DELAY_S)
         engine = self.world.engines[self.address]
         if not engine.up or engine.dark or not may_send():
             return upstream.CallEnd.NOT_SENT
@@ -257,7 +257,7 @@
 
     async def probe(self, address: str) -> endpointprobe.Listener:
         """Answer a connection attempt as the engine's VM does."""
-        await asyncio.sleep(2 * relayworld.TRAVEL_S)
+        await asyncio.sleep(2 * relayworld.ONE_WAY_DELAY_S)
         engine = self.engines[address]
         if engine.dark:
             return endpointprobe.Listener.SILENT
--- a/features/support/relayhistories.py
+++ b/features/support/relayhistories.py
@@ -1,4 +1,4 @@
-"""Histories of relays, in virtual time: drawn, directed, and with defects."""
+"""Fault histories of relays in virtual time: random, directed, with defects."""
 
 import asyncio
 import contextlib
@@ -19,8 +19,8 @@
 from features.support import relayworld
 from features.support import virtualloop
 
-CALM_S = 6.0
-# A relay for tests of its parts alone.
+CONVERGENCE_S = 6.0
+# A relay for tests of single components.
 RELAY = watching.Relay(
     name="r", incarnation=1, address="10.0.0.1:1", availability_zone="za"
 )
@@ -39,7 +39,7 @@
 
 @contextlib.contextmanager
 def fleet(gateways, seed=2):
-    """Give a world in which all gateways watch, and how to let it run."""
+    """Yield a world in which all gateways watch, and its `run` function."""
     with virtualloop.virtual_time() as loop:
         world = relayworld.World(loop, seed)
         loop.run_until_complete(world.begin(gateways))
@@ -49,43 +49,43 @@
         loop.run_until_complete(asyncio.sleep(0))
 
 
-def asked(world, gateway) -> relayworld.Process:
-    """Return the process that a gateway asks."""
+def watched_process(world, gateway) -> relayworld.Process:
+    """Return the process that a gateway watches."""
     return world.by_address[gateway.watch.choice.current]
 
 
-def left_in_time(what, seconds, age):
-    """Check how soon gateways leave a relay, and that none is lost."""
+def check_relay_failover(what, seconds, age):
+    """Check how soon gateways leave a faulty relay, and that none is lost."""
     with fleet(6) as (world, run):
-        near = [
+        zone_gateways = [
             g
             for g in world.gateways.values()
             if g.settings.availability_zone == "za"
         ]
-        # One process of the zone is left for them: the relay, not a replica.
+        # Without the zone's replica the gateways watch its relay.
         world.processes["replica-0"].stop()
         run(4.0)
-        relay = asked(world, near[0])
+        relay = watched_process(world, zone_gateways[0])
         assert relay.name == "relay-0", relay.name
-        names = {g.settings.gateway for g in near}
-        if what == "dies":
+        names = {g.settings.gateway for g in zone_gateways}
+        if what == "crashes":
             relay.stop()
-        elif what == "stands still":
+        elif what == "is frozen":
             world.frozen[relay.name] = world.now + 30.0
         elif what == "is cut off from the leader":
             world.isolate(relay.name)
         else:
             for name in names:
                 world.cut(name, relay.name)
-        lost = run_and_watch_members(world, run, seconds)
-        for gateway in near:
+        lost = run_and_find_lost_members(world, run, seconds)
+        for gateway in zone_gateways:
             found = gateway.view.age_s(world.now)
             assert found <= age, (gateway.settings.gateway, found)
         assert not lost & set(world.gateways), lost
 
 
-def run_and_watch_members(world, run, seconds) -> set[str]:
-    """Let time pass; return the gateways that some gateway took for lost."""
+def run_and_find_lost_members(world, run, seconds) -> set[str]:
+    """Run; return the gateways missing from any gateway's member list."""
     lost = set()
     end = world.now + seconds
     while world.now < end:
@@ -95,7 +95,7 @@
     return lost
 
 
-# --- drawn histories ---------------------------------------------------------
+# --- random histories --------------------------------------------------------
 
 EVENTS = st.lists(
     st.tuples(
@@ -125,113 +125,113 @@
 )
 
 
-class Events:
-    """What may happen, by name."""
+class EventHandlers:
+    """Event handlers by event name."""
 
     def __init__(self, world):
         self.world = world
 
     def version(self, _place):
-        """Put a version."""
+        """Put a version in force."""
         self.world.put_version()
 
     def storm(self, _place):
-        """Put versions one after the other."""
+        """Put several versions in force in a row."""
         for _ in range(5):
             self.world.put_version()
 
-    def die(self, place):
-        """Kill a process of control."""
-        process = self.world.processes[PROCESSES[place]]
+    def die(self, index):
+        """Stop a control process."""
+        process = self.world.processes[PROCESSES[index]]
         if process.up:
             process.stop()
 
-    def restart(self, place):
-        """Start a process of control, or start it again."""
-        process = self.world.processes[PROCESSES[place]]
+    def restart(self, index):
+        """Start or restart a control process."""
+        process = self.world.processes[PROCESSES[index]]
         if process.up:
             process.stop()
         process.start()
 
-    def freeze(self, place):
-        """Let a process stand still."""
-        self.world.frozen[PROCESSES[place]] = self.world.now + 3.0
+    def freeze(self, index):
+        """Freeze a process."""
+        self.world.frozen[PROCESSES[index]] = self.world.now + 3.0
 
-    def isolate(self, place):
-        """Cut a process off from the others of control."""
-        self.world.isolate(PROCESSES[place])
+    def isolate(self, index):
+        """Cut a process off from the other control processes."""
+        self.world.isolate(PROCESSES[index])
 
-    def cut_gateway(self, place):
-        """Cut a gateway off from one process."""
+    def cut_gateway(self, index):
+        """Cut a gateway off from one control process."""
         names = sorted(self.world.gateways)
-        name = names[place % len(names)]
-        self.world.cut(name, PROCESSES[(place * 7 + 3) % len(PROCESSES)])
+        name = names[index % len(names)]
+        self.world.cut(name, PROCESSES[(index * 7 + 3) % len(PROCESSES)])
 
-    def lose_leader(self, place):
-        """Let nobody lead for a while."""
-        self.world.lose_leader(0.2 + 0.3 * place)
+    def lose_leader(self, index):
+        """Depose the leader and elect none for some time."""
+        self.world.lose_leader(0.2 + 0.3 * index)
 
     def heal(self, _place):
-        """Mend everything."""
+        """Repair all links and processes."""
         self.world.heal()
 
-    def gateway_restarts(self, place):
-        """Kill a gateway and start it again."""
-        name = f"gw-{place % GATEWAYS}"
+    def gateway_restarts(self, index):
+        """Restart a gateway."""
+        name = f"gw-{index % GATEWAYS}"
         self.end_gateway(name)
         self.world.add_gateway(
-            name, relayworld.ZONES[place % GATEWAYS % len(relayworld.ZONES)]
+            name, relayworld.ZONES[index % GATEWAYS % len(relayworld.ZONES)]
         )
 
-    def gateway_dies(self, place):
-        """Kill a gateway for good, if others are left."""
+    def gateway_dies(self, index):
+        """Stop a gateway for good, unless only two are left."""
         if len(self.world.gateways) > 2:
             names = sorted(self.world.gateways)
-            self.end_gateway(names[place % len(names)])
+            self.end_gateway(names[index % len(names)])
 
     def end_gateway(self, name):
-        """Kill a gateway."""
+        """Stop a gateway."""
         gateway = self.world.gateways.pop(name, None)
         if gateway is not None:
             gateway.watch.task.cancel()
 
-    def endpoint_comes(self, place):
+    def endpoint_comes(self, index):
         """Announce an endpoint."""
-        name = f"e{place}"
+        name = f"e{index}"
         if name not in self.world.endpoints:
             self.world.announce(name)
 
-    def endpoint_leaves(self, place):
-        """Let an endpoint leave, as it is acknowledged by a leader."""
-        name = f"e{place}"
+    def endpoint_leaves(self, index):
+        """Sign an endpoint off, if a leader acknowledges it."""
+        name = f"e{index}"
         known = self.world.endpoints.get(name)
         serving = registry.EndpointState.SERVING
         if known is not None and known.state is serving and self.world.leader():
             self.world.announce(name, registry.EndpointState.LEAVING)
 
 
-def play(events, seed=1):
-    """Play one history and its calm end."""
+def run_history(events, seed=1):
+    """Run one history, then check convergence without faults."""
     with virtualloop.virtual_time() as loop:
         world = relayworld.World(loop, seed)
 
-        async def story():
+        async def run():
             await world.begin(GATEWAYS)
             await world.run(1.5)
-            acts = Events(world)
-            for name, place, pause_s in events:
-                getattr(acts, name)(place)
+            handlers = EventHandlers(world)
+            for name, index, pause_s in events:
+                getattr(handlers, name)(index)
                 await world.run(pause_s)
             world.heal()
-            await world.run(CALM_S)
-            world.check_calm()
+            await world.run(CONVERGENCE_S)
+            world.check_converged()
             world.stop()
 
-        loop.run_until_complete(story())
+        loop.run_until_complete(run())
 
 
-def draw_histories(count, phases=tuple(Phase)):
-    """Play drawn histories; a defect need not be shown by the shortest one."""
+def run_random_histories(count, phases=tuple(Phase)):
+    """Run random histories; finding a defect needs no shrinking phase."""
 
     @settings(
         derandomize=True,
@@ -242,47 +242,47 @@
     )
     @drawn(EVENTS)
     def check(events):
-        play(events)
+        run_history(events)
 
     check()
 
 
 # --- directed histories and defects -------------------------------------------
 
-RIGHT_ON_WATCH = watchcache.WatchCache.on_watch
-RIGHT_TAKE = watchcache.WatchCache.apply_response
-RIGHT_ANSWER = watchdesk.WatchDesk.answer_now
-RIGHT_TAKE_OVER = coordinator_lib.Coordinator.take_over
+ORIGINAL_ON_WATCH = watchcache.WatchCache.on_watch
+ORIGINAL_APPLY_RESPONSE = watchcache.WatchCache.apply_response
+ORIGINAL_ANSWER = watchdesk.WatchDesk.answer_now
+ORIGINAL_TAKE_OVER = coordinator_lib.Coordinator.take_over
 
 
-def dates_anew(self, request, now):
-    """Tell of a proof as if it were new."""
-    news = RIGHT_ON_WATCH(self, request, now)
+def resets_proof_age(self, request, now):
+    """Return the response with a proof age of zero."""
+    news = ORIGINAL_ON_WATCH(self, request, now)
     if isinstance(news, watching.News):
         return attrs.evolve(news, proof_age_s=0.0)
     return news
 
 
-def dates_late(self, question, news, _asked_at, now):
-    """Count the proof from when the answer came."""
-    RIGHT_TAKE(self, question, news, now, now)
+def dates_proof_at_response(self, request, news, _asked_at, now):
+    """Date the proof at the arrival of the response."""
+    ORIGINAL_APPLY_RESPONSE(self, request, news, now, now)
 
 
-async def answers_relays(self, question):
-    """Answer relays from the copy as well."""
-    answer = await RIGHT_ANSWER(self, question)
-    is_relay = isinstance(question, watching.RelayWatch)
+async def answers_relays_from_cache(self, request):
+    """Answer watches of relays from the cache."""
+    answer = await ORIGINAL_ANSWER(self, request)
+    is_relay = isinstance(request, watching.RelayWatch)
     if is_relay and isinstance(answer, outcomes.NotLeader):
         if not self.watch_cache.fleet_state.epoch:
             return answer
         return self.watch_cache.fleet_state.page(
-            question.epoch, question.registry_mark
+            request.epoch, request.registry_mark
         )
     return answer
 
 
-def counts_late_reports(self, attached, until, relay=""):
-    """Take any word of a gateway for the newest."""
+def accepts_late_reports(self, attached, until, relay=""):
+    """Accept any report of a gateway as the newest."""
     member = attached.member
     known = self.members.get(member.entry)
     if known is None or known.member != member:
@@ -292,40 +292,40 @@
     )
 
 
-def keeps_members_for_ever(self):
-    """Give no lease to what was taken over."""
-    RIGHT_TAKE_OVER(self)
+def restores_members_without_lease(self):
+    """Take members over without a lease."""
+    ORIGINAL_TAKE_OVER(self)
     for live in self.members.values():
         live.until = coordinator_lib.NEVER
 
 
 DEFECTS = {
-    "a relay dates the proof anew": (
+    "a relay resets the age of the proof": (
         watchcache.WatchCache,
         "on_watch",
-        dates_anew,
+        resets_proof_age,
     ),
-    "a relay dates the proof when the answer comes": (
+    "a relay dates the proof at the arrival of the response": (
         watchcache.WatchCache,
         "apply_response",
-        dates_late,
+        dates_proof_at_response,
     ),
-    "relays answer each other's questions": (
+    "relays answer watches of other relays": (
         watchdesk.WatchDesk,
         "answer_now",
-        answers_relays,
+        answers_relays_from_cache,
     ),
-    "a late report of a gateway that moved counts": (
+    "a late report of a former relay is accepted": (
         coordinator_lib.Coordinator,
         "update_member",
-        counts_late_reports,
+        accepts_late_reports,
     ),
-    "a leader that takes over tells nobody of lost ones": (
+    "a new leader never reports members lost with the old one": (
         coordinator_lib.Coordinator,
         "take_over",
-        keeps_members_for_ever,
+        restores_members_without_lease,
     ),
-    "a gateway stays with a relay that is behind": (
+    "a gateway stays attached to a relay that is behind": (
         relaychoice.RelayChoice,
         "avoid",
         lambda self, address, now: None,
@@ -333,12 +333,12 @@
 }
 
 
-def frozen_as_an_answer_comes():
-    """An answer reaches a relay as it begins to stand still, for long."""
+def relay_freezes_at_response():
+    """A relay freezes for some seconds as a response arrives."""
     with virtualloop.virtual_time() as loop:
         world = relayworld.World(loop, 3)
 
-        async def story():
+        async def run():
             await world.begin(GATEWAYS)
             await world.run(2.0)
             for _ in range(6):
@@ -352,14 +352,14 @@
                 await world.run(9.0)
                 world.heal()
                 await world.run(3.0)
-            world.check_calm()
+            world.check_converged()
             world.stop()
 
-        loop.run_until_complete(story())
+        loop.run_until_complete(run())
 
 
 def cut_zone_off(world):
-    """Let the gateways of zone za reach the relay there only."""
+    """Leave the gateways of zone za only the link to the zone's relay."""
     for name, gateway in world.gateways.items():
         if gateway.settings.availability_zone == "za":
             for process in PROCESSES:
@@ -367,36 +367,36 @@
                     world.cut(name, process)
 
 
-def relays_among_themselves():
-    """All replicas are gone; relays go on for a while."""
+def relays_without_replicas():
+    """Relays lose the connection to all replicas."""
     with virtualloop.virtual_time() as loop:
         world = relayworld.World(loop, 4)
 
-        async def story():
+        async def run():
             await world.begin(GATEWAYS)
             await world.run(2.0)
             for number in range(3):
                 world.cut(f"replica-{number}", f"replica-{(number + 1) % 3}")
-                for place in range(3):
-                    world.cut("replica-0", f"relay-{place}")
+                for index in range(3):
+                    world.cut("replica-0", f"relay-{index}")
             await world.run(0.5)
             world.put_version()
             await world.run(9.0)
             world.stop()
 
-        loop.run_until_complete(story())
+        loop.run_until_complete(run())
 
 
-def late_report():
-    """A gateway goes on to another relay; its former one tells late."""
+def late_report_of_former_relay():
+    """A relay reports a gateway that has attached to another relay since."""
     with virtualloop.virtual_time() as loop:
         world = relayworld.World(loop, 5)
 
-        async def story():
+        async def run():
             await world.begin(2)
             await world.run(2.0)
             leader = world.leader()
-            # It asks a process of zone zb, none of which leads.
+            # The gateway watches a process of zone zb, where none leads.
             member = world.gateways["gw-1"].watch.member()
             earlier = watching.Attached(member=member, attachment=0)
             relay = world.processes["relay-2"].watch_cache.relay
@@ -409,41 +409,41 @@
                 world.now,
             )
             await world.run(3.0)
-            world.check_calm()
+            world.check_converged()
             world.stop()
 
-        loop.run_until_complete(story())
+        loop.run_until_complete(run())
 
 
-def dies_with_the_leader():
-    """A gateway dies in the moment in which another leader takes over."""
+def gateway_dies_with_leader():
+    """A gateway stops at the moment of a leader change."""
     with virtualloop.virtual_time() as loop:
         world = relayworld.World(loop, 6)
 
-        async def story():
+        async def run():
             await world.begin(GATEWAYS)
             await world.run(2.0)
             world.processes["replica-0"].stop()
             world.processes["relay-0"].stop()
-            Events(world).end_gateway("gw-0")
-            await world.run(CALM_S)
-            world.check_calm()
+            EventHandlers(world).end_gateway("gw-0")
+            await world.run(CONVERGENCE_S)
+            world.check_converged()
             world.stop()
 
-        loop.run_until_complete(story())
+        loop.run_until_complete(run())
 
 
 DIRECTED = (
-    frozen_as_an_answer_comes,
-    relays_among_themselves,
-    late_report,
-    dies_with_the_leader,
-    lambda: left_in_time("is cut off from the leader", 3.0, 1.5),
+    relay_freezes_at_response,
+    relays_without_replicas,
+    late_report_of_former_relay,
+    gateway_dies_with_leader,
+    lambda: check_relay_failover("is cut off from the leader", 3.0, 1.5),
 )
 
 
-def broke(history) -> bool:
-    """Return whether a history breaks what must hold."""
+def fails_check(history) -> bool:
+    """Return whether a history violates a check."""
     try:
         history()
     except AssertionError:
--- a/features/support/relayworld.py
+++ b/features/support/relayworld.py
@@ -1,9 +1,9 @@
-"""Replicas, relays and gateways that watch, in virtual time.
+"""Simulation of replicas, relays and watching gateways in virtual time.
 
-The programs' own parts run: hubs, mirrors, relay loops, desks and the watches of
-gateways. Who leads is decided here, as elections have tests of their own; what
-is promised to them holds: a replica answers as the leader only while no other
-one does.
+The simulation runs production code: coordinators, watch caches, relay loops,
+watch desks and the watches of gateways. Elections have tests of their own, so
+the simulation appoints the leader. It keeps the guarantee of elections: a
+replica answers as the leader only while no other replica does.
 """
 
 import asyncio
@@ -32,16 +32,16 @@
 from features.support import gatewaybed
 
 ZONES = ("za", "zb", "zc")
-TRAVEL_S = 0.001
-# What a gateway takes for proof, and what must hold for withdrawn keys.
+ONE_WAY_DELAY_S = 0.001
+# Staleness bound of the gateways, and the limit for serving withdrawn keys.
 STALENESS_S = 4.5
-REVOKED_S = 5.0
+MAX_REVOCATION_S = 5.0
 STEP_S = 0.05
 
 
 @attrs.define(eq=False)
 class Process:
-    """A process of control: a replica that may lead, or a relay."""
+    """A control process: a replica that may lead, or a relay."""
 
     name: str
     zone: str
@@ -52,15 +52,15 @@
     frozen_until: float = 0.0
     incarnation: int = 0
     coordinator: coordinator_lib.Coordinator | None = None
-    # Its hub of a term that has ended while it stood still.
-    deposed: coordinator_lib.Coordinator | None = None
+    # Coordinator of a term that ended while the process was frozen.
+    former_coordinator: coordinator_lib.Coordinator | None = None
     watch_cache: watchcache.WatchCache = attrs.field(init=False)
     desk: watchdesk.WatchDesk = attrs.field(init=False)
 
     def start(self) -> None:
-        """Start, knowing nothing."""
+        """Start with empty state."""
         self.up = True
-        self.coordinator = self.deposed = None
+        self.coordinator = self.former_coordinator = None
         self.incarnation += 1
         relay = watching.Relay(
             name=self.name,
@@ -71,7 +71,7 @@
         self.watch_cache = watchcache.WatchCache(relay)
         self.desk = watchdesk.WatchDesk(self.watch_cache, self.ask_leader)
         link = links.GrpcControlLink(tuple(self.world.replica_addresses()))
-        link.channels = WorldChannels(self.world, self.name, self.zone)
+        link.channels = SimulatedChannels(self.world, self.name, self.zone)
         self.desk.relay = relayloop.RelayLoop(
             self.watch_cache,
             link,
@@ -82,14 +82,14 @@
         self.desk.relay.start()
 
     def stop(self) -> None:
-        """Die."""
+        """Stop at once, as in a crash."""
         self.up = False
-        self.coordinator = self.deposed = None
+        self.coordinator = self.former_coordinator = None
         self.desk.relay.stop()
         self.desk.wake()
 
     def lead(self) -> None:
-        """Begin to lead, as a replica does."""
+        """Become the leader, as `ControlNode.take_over` does."""
         now = self.world.now
         registry_since = self.watch_cache.registry_since
         if not self.watch_cache.is_fresh(now):
@@ -108,21 +108,23 @@
         self.desk.wake()
 
     def step_down(self) -> None:
-        """Lead no longer; a process that stands still learns of it later."""
+        """Stop leading; a frozen process learns of it when it runs again."""
         if self.coordinator is not None:
-            self.deposed, self.coordinator = self.coordinator, None
-            self.note_deposed()
-
-    def note_deposed(self) -> None:
-        """Go on as a relay after having led, unless it stands still."""
-        if self.deposed is not None and not self.world.stands_still(self.name):
+            self.former_coordinator, self.coordinator = self.coordinator, None
+            self.step_down_if_running()
+
+    def step_down_if_running(self) -> None:
+        """Serve as a relay after having led, unless the process is frozen."""
+        if self.former_coordinator is not None and not self.world.is_frozen(
+            self.name
+        ):
             self.watch_cache.step_down(
-                self.deposed.registry_since, self.world.now
+                self.former_coordinator.registry_since, self.world.now
             )
-            self.deposed = None
+            self.former_coordinator = None
 
     async def answer(self, message) -> object:
-        """Answer a call of another process."""
+        """Answer a call from another process."""
         if isinstance(message, watching.Watch | watching.RelayWatch):
             return await self.desk.answer(message)
         if self.coordinator is None:
@@ -137,26 +139,26 @@
             return self.coordinator.retry_lender.lend(message, self.world.now)
         return self.world.apply(message)
 
-    async def ask_leader(self, question) -> object:
-        """Answer as the leader, or say who leads."""
+    async def ask_leader(self, request) -> object:
+        """Answer as the leader, or return the leader's address."""
         if self.coordinator is None:
             return outcomes.NotLeader(hint=self.world.leader_address())
-        if isinstance(question, watching.RelayWatch):
-            news = self.coordinator.on_relay_watch(question, self.world.now)
+        if isinstance(request, watching.RelayWatch):
+            news = self.coordinator.on_relay_watch(request, self.world.now)
         else:
             near = watchcache.relays_in_zone(
-                self.coordinator.fleet_state, question, self.watch_cache.relay
+                self.coordinator.fleet_state, request, self.watch_cache.relay
             )
             if near:
                 return watching.AskElsewhere(relays=near)
-            news = self.coordinator.on_watch(question, self.world.now)
+            news = self.coordinator.on_watch(request, self.world.now)
         return attrs.evolve(
             news, replicas=tuple(self.world.replica_addresses())
         )
 
 
-class WorldChannels:
-    """Calls of one process on others, by way of the world's network."""
+class SimulatedChannels:
+    """Calls from one process to others over the simulated network."""
 
     def __init__(self, world, name, zone):
         self.world = world
@@ -164,44 +166,44 @@
         self.zone = zone
 
     async def call(self, address, message, timeout_s):
-        """Return the answer, or text saying why there is none."""
+        """Return the answer, or an error code."""
         world = self.world
         target = world.by_address[address]
         task = asyncio.ensure_future(self.exchange(target, message))
         await asyncio.wait([task], timeout=timeout_s)
-        if not task.done() and world.stands_still(self.name):
-            # It takes what has come meanwhile when it runs again.
-            await world.thaw(self.name)
-            await asyncio.sleep(2 * TRAVEL_S)
+        if not task.done() and world.is_frozen(self.name):
+            # After the freeze the process reads a response that has arrived.
+            await world.wait_until_unfrozen(self.name)
+            await asyncio.sleep(2 * ONE_WAY_DELAY_S)
         if not task.done():
             task.cancel()
             return Error("deadline_exceeded")
         return task.result()
 
     async def exchange(self, target, message):
-        """Carry a message there and the answer back."""
+        """Deliver a message and return the answer."""
         world = self.world
-        await world.travel(self.name, target.name)
+        await world.cross_network(self.name, target.name)
         if not target.up:
             return Error("unavailable")
         started = target.incarnation
         decoded = wirecalls.CALLS.decode(wirecalls.CALLS.encode(message)).ok
         answer = await target.answer(decoded)
-        await world.thaw(target.name)
+        await world.wait_until_unfrozen(target.name)
         if not target.up or target.incarnation != started:
             return Error("unavailable")
-        await world.travel(target.name, self.name)
+        await world.cross_network(target.name, self.name)
         return Ok(wirecalls.CALLS.decode(wirecalls.CALLS.encode(answer)).ok)
 
     def forget(self, _address):
-        """Keep nothing."""
+        """Do nothing; the simulation keeps no connections."""
 
     async def close(self):
-        """Close nothing."""
+        """Do nothing; the simulation keeps no connections."""
 
 
 class World:
-    """A fleet, what happens to it, and what must hold all the while."""
+    """A simulated fleet with faults and invariants."""
 
     def __init__(self, loop, seed: int):
         self.loop = loop
@@ -234,7 +236,7 @@
         return next(self.terms)
 
     def apply(self, command: object) -> object:
-        """Apply a replicated command, as the leader does."""
+        """Apply a replicated command as the leader does."""
         answer = self.state.apply(command, clocks.unix_time())
         for process in self.processes.values():
             if process.coordinator is not None:
@@ -243,14 +245,14 @@
         return answer
 
     def add_process(self, name, zone, can_lead) -> None:
-        """Set up a process of control."""
+        """Add a control process."""
         process = Process(name, zone, self, can_lead)
         process.address = f"10.0.0.{len(self.processes) + 1}:1"
         self.processes[name] = process
         self.by_address[process.address] = process
 
     async def begin(self, gateways: int) -> None:
-        """Start everything."""
+        """Start all processes and gateways."""
         for process in self.processes.values():
             process.start()
         self.processes["replica-0"].lead()
@@ -260,65 +262,65 @@
         await asyncio.sleep(0)
 
     def add_gateway(self, name: str, zone: str) -> None:
-        """Start a gateway, or start it again."""
+        """Start or restart a gateway."""
         gateway = gatewaybed.Bed.without_sockets(name, zone)
         gateway.front.apply = lambda limits: None
         gateway.incarnation = next(self.seqs)
         watch = watch_lib.Watch(gateway)
-        watch.channels = WorldChannels(self, name, zone)
+        watch.channels = SimulatedChannels(self, name, zone)
         watch.learn_seeds(tuple(self.replica_addresses()))
         gateway.watch = watch
         self.gateways[name] = gateway
         watch.start()
 
     def replica_addresses(self) -> list[str]:
-        """Return the addresses that everybody is set up with."""
+        """Return the addresses that all processes are configured with."""
         return [p.address for p in self.processes.values() if p.can_lead]
 
     def leader(self) -> Process | None:
-        """Return who leads."""
+        """Return the leader, None if there is none."""
         for process in self.processes.values():
             if process.coordinator is not None:
                 return process
         return None
 
     def leader_address(self) -> str:
-        """Return the address of the leader, empty for none."""
+        """Return the leader's address, empty if there is none."""
         leader = self.leader()
         return leader.address if leader else ""
 
     # --- network -----------------------------------------------------------
 
-    async def travel(self, source: str, target: str) -> None:
-        """Take the way from one to another, or wait for ever on a cut one."""
+    async def cross_network(self, source: str, target: str) -> None:
+        """Wait for the one-way delay, or until a cut link is repaired."""
         while frozenset((source, target)) in self.cuts:
             await asyncio.sleep(STEP_S)
-        await asyncio.sleep(TRAVEL_S)
-        await self.thaw(target)
+        await asyncio.sleep(ONE_WAY_DELAY_S)
+        await self.wait_until_unfrozen(target)
 
-    def stands_still(self, name: str) -> bool:
-        """Return whether a process does not run now."""
+    def is_frozen(self, name: str) -> bool:
+        """Return whether a process is frozen now."""
         return self.frozen.get(name, 0.0) > self.now
 
-    async def thaw(self, name: str) -> None:
-        """Wait until a process that stands still runs again."""
-        while self.stands_still(name):
+    async def wait_until_unfrozen(self, name: str) -> None:
+        """Wait until a frozen process runs again."""
+        while self.is_frozen(name):
             await asyncio.sleep(self.frozen[name] - self.now)
 
     def cut(self, one: str, other: str) -> None:
-        """Cut the way between two."""
+        """Cut the link between two processes."""
         self.cuts.add(frozenset((one, other)))
 
     def isolate(self, name: str) -> None:
-        """Cut a process off from all others of control."""
+        """Cut the links of a process to all other control processes."""
         for other in self.processes:
             if other != name:
                 self.cut(name, other)
 
-    # --- what operators and endpoints do -----------------------------------
+    # --- operators and endpoints -------------------------------------------
 
     def put_version(self) -> bool:
-        """Put the next version in force, as one that is acknowledged."""
+        """Put the next version in force and record it as acknowledged."""
         version = len(self.acked) + 1
         config = gatewaybed.config(version)
         self.state.routes.put(messages.PutRoutes(config=config, source=b""))
@@ -329,7 +331,7 @@
         return True
 
     def announce(self, name: str, state=registry.EndpointState.SERVING) -> None:
-        """Let an endpoint announce itself to the leader."""
+        """Announce an endpoint to the leader."""
         leader = self.leader()
         if leader is None:
             return
@@ -346,21 +348,21 @@
         leader.desk.wake()
 
     def renew_endpoints(self) -> None:
-        """Let all endpoints announce themselves again."""
+        """Repeat the announcements of all endpoints."""
         for name in list(self.endpoints):
             self.announce(name)
 
     # --- elections ---------------------------------------------------------
 
     def lose_leader(self, for_s: float) -> None:
-        """Let nobody lead for a while."""
+        """Depose the leader and elect none for some time."""
         leader = self.leader()
         if leader is not None:
             leader.step_down()
         self.no_leader_until = self.now + for_s
 
     def elect(self) -> None:
-        """Let a replica that runs and is connected lead, if it is time."""
+        """Appoint a running replica with a quorum once an election is due."""
         leader = self.leader()
         if leader is not None and not self.can_lead(leader):
             self.lose_leader(0.6)
@@ -372,10 +374,10 @@
             self.rng.choice(able).lead()
 
     def can_lead(self, process: Process) -> bool:
-        """Return whether a majority of replicas hears a replica."""
+        """Return whether a replica is connected to a quorum."""
         if not process.can_lead or not process.up:
             return False
-        if self.stands_still(process.name):
+        if self.is_frozen(process.name):
             return False
         replicas = [p for p in self.processes.values() if p.can_lead]
         heard = [
@@ -386,36 +388,36 @@
         ]
         return len(heard) * 2 > len(replicas)
 
-    # --- what must hold ----------------------------------------------------
+    # --- invariants --------------------------------------------------------
 
     def check(self) -> None:
-        """Check what must hold at any moment."""
+        """Check the invariants that hold at any time."""
         if self.broken.done():
             self.broken.result()
         for gateway in self.gateways.values():
-            if self.stands_still(gateway.settings.gateway):
+            if self.is_frozen(gateway.settings.gateway):
                 continue
             self.check_gateway(gateway)
 
     def check_gateway(self, gateway) -> None:
-        """Check that nothing is served past a version's withdrawal."""
+        """Check that no version is served too long after a newer one."""
         view = gateway.view
         if not view.is_current(self.now):
             return
         later = [at for at, version in self.acked if version > view.version]
         if later:
             late_s = self.now - later[0]
-            assert late_s < REVOKED_S, (gateway.settings.gateway, late_s)
+            assert late_s < MAX_REVOCATION_S, (gateway.settings.gateway, late_s)
 
     async def run(self, seconds: float) -> None:
-        """Let time pass, and check all the while."""
+        """Advance time and check the invariants in each step."""
         end = self.now + seconds
         renew_at = self.now
         while self.now < end:
             await asyncio.sleep(STEP_S)
             self.elect()
             for process in self.processes.values():
-                process.note_deposed()
+                process.step_down_if_running()
                 if process.coordinator is not None:
                     for command in process.coordinator.quarantine_delayed(
                         self.now
@@ -431,15 +433,15 @@
             self.check()
 
     def heal(self) -> None:
-        """End all that was done to the fleet."""
+        """Repair all links and processes."""
         self.cuts.clear()
         self.frozen.clear()
         for process in self.processes.values():
             if not process.up:
                 process.start()
 
-    def check_calm(self) -> None:
-        """Check that after a calm time everybody knows everything."""
+    def check_converged(self) -> None:
+        """Check that all gateways have the newest version and fleet state."""
         newest = self.acked[-1][1]
         alive = set(self.gateways)
         serving = {
@@ -456,7 +458,7 @@
             assert used == serving, (name, used ^ serving)
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for process in self.processes.values():
             if process.up:
                 process.desk.relay.stop()
--- a/features/support/virtualloop.py
+++ b/features/support/virtualloop.py
@@ -1,4 +1,4 @@
-"""An asyncio loop whose time jumps to the next timer instead of passing."""
+"""An asyncio event loop in virtual time: waiting advances the clock at once."""
 
 import asyncio
 import contextlib
@@ -10,47 +10,47 @@
 START_S = 1_000.0
 
 
-class JumpingSelector(selectors.BaseSelector):
-    """Waits for nothing: a wait moves the clock on."""
+class VirtualSelector(selectors.BaseSelector):
+    """Selector that advances the clock instead of waiting."""
 
     def __init__(self):
         self.now = START_S
 
     def register(self, fileobj, events, data=None):
-        """Take what the loop registers for itself; it is never ready."""
+        """Accept the loop's own file; it is never ready."""
         return selectors.SelectorKey(fileobj, 0, events, data)
 
     def unregister(self, fileobj):
-        """Forget a file."""
+        """Return the key of a file; nothing is stored."""
         return selectors.SelectorKey(fileobj, 0, 0, None)
 
     def select(self, timeout=None):
-        """Move the clock on by the time until the next timer."""
+        """Advance the clock by `timeout`; no file is ready."""
         if timeout is None:
-            raise RuntimeError("all tasks wait for something that never comes")
+            raise RuntimeError("deadlock: no task has a timer")
         self.now += max(0.0, timeout)
         return []
 
     def get_map(self):
-        """Return no files."""
+        """Return an empty map."""
         return {}
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs coroutines in virtual time."""
+    """Event loop that runs in virtual time."""
 
     def __init__(self):
-        self.jumping = JumpingSelector()
-        super().__init__(self.jumping)
+        self.virtual_selector = VirtualSelector()
+        super().__init__(self.virtual_selector)
 
     def time(self):
         """Return the virtual time."""
-        return self.jumping.now
+        return self.virtual_selector.now
 
 
 @contextlib.contextmanager
 def virtual_time():
-    """Give a loop whose time is also the clock of the runtime."""
+    """Yield a loop whose time also replaces the runtime's clocks."""
     loop = VirtualLoop()
     with (
         mock.patch.object(clocks, "boot_time", loop.time),
