--- a/features/control/claims.feature
+++ b/features/control/claims.feature
@@ -1,6 +1,6 @@
 Feature: A claim is forgotten only when its key cannot be admitted
 
-  Scenario Outline: A key made <age> s before it comes is <status>
+  Scenario Outline: A key created <age> s before its request is <status>
     When a claim on a key of age <age> is taken
     Then its status is "<status>"
 
@@ -12,10 +12,10 @@
       | -200   | granted     |
       | -400   | key_expired |
 
-  Scenario: Old claims leave no memory behind
+  Scenario: Memory of old claims is freed
     When 500 claims are taken and two days pass
     Then no claim is kept, and the old key is "key_expired"
 
-  Scenario: Answers are kept within their bound, claims stay
+  Scenario: An answer above the size limit is dropped, its claim stays
     When a claim is settled with an answer of 300000 bytes
     Then a resend is told "not_stored"
--- a/features/control/relay.feature
+++ b/features/control/relay.feature
@@ -1,10 +1,10 @@
-Feature: Control on VMs without a disk shows the way and keeps nothing
+Feature: Control processes without a disk refer to the leader and store nothing
 
   Scenario Outline: <relays> of the seeds have no disk
-    Given <replicas> replicas and <relays> relays in processes of their own
-    Then a version is taken within 10 s by way of each of them
-    And it is read back by way of each of them
-    And each relay shows operators the version and who leads
+    Given <replicas> replicas and <relays> relays in separate processes
+    Then each process accepts a version within 10 s and forwards it to the leader
+    And the version is read back through each process
+    And each relay shows operators the version and the leader
 
     Examples: the relays come first in the order of the seeds, then last
       | replicas | relays | 
@@ -12,6 +12,6 @@
       | 3        | 1      |
       | 3        | 2      |
 
-  Scenario: A relay without anybody to relay to keeps running
-    Given 0 replicas and 1 relays in processes of their own
-    Then the relay names no leader and ends well when told to stop
+  Scenario: A relay without a leader keeps running
+    Given 0 replicas and 1 relays in separate processes
+    Then the relay names no leader and exits with status 0 when stopped
--- a/features/control/retrylending.feature
+++ b/features/control/retrylending.feature
@@ -1,9 +1,9 @@
 Feature: The leader lends retries within the slack of a service
 
-  Scenario Outline: A leader since <leads> s that has lent <lent> is asked for <wanted>
+  Scenario Outline: A leader since <leads> s with <lent> lent gets a request for <wanted>
     Given a leader since <leads> s that has lent <lent> retries
-    When a gateway asks it for <wanted> of a slack of <slack>
-    Then it is lent <amount>, or is to come back after <again> s
+    When a gateway requests <wanted> of a slack of <slack>
+    Then it gets <amount>, or a retry delay of <again> s
 
     Examples:
       | leads | lent | wanted | slack | amount | again |
@@ -17,23 +17,23 @@
       | 60    | 55   | 4      | 200   | 4      | 0     |
       | 60    | 0    | 4      | 1     | 0      | 15    |
 
-  # Guards against hundreds of gateways that ask the leader again and again.
-  Scenario Outline: <count> gateways ask a leader that has lent everything for <seconds> s
+  # Guards against overload of the leader by retries of hundreds of gateways.
+  Scenario Outline: <count> gateways request retries for <seconds> s when all are lent
     Given a leader since 60 s that has lent 55 retries
-    When <count> gateways ask it for 1 of a slack of 100, as soon as they may, for <seconds> s
-    Then at most <most> that got nothing ask again in any second
-    And each of them is lent or told to come back within <within> s
+    When <count> gateways request 1 of a slack of 100, as often as allowed, for <seconds> s
+    Then at most <most> refused gateways retry in any second
+    And each request gets retries or a retry delay of at most <within> s
 
     Examples:
       | count | seconds | most | within |
       | 9     | 30      | 26   | 15     |
       | 520   | 60      | 26   | 36     |
 
-  Scenario: A replica that does not lead lends nothing
-    When a replica that does not lead is asked for retries
-    Then it answers that it does not lead
+  Scenario: A follower lends nothing
+    When a gateway requests retries from a follower
+    Then the follower answers that it does not lead
 
-  Scenario: Services of which nothing is lent make room for others
-    Given a lender to as many services as it keeps
-    When a gateway asks it for another service
-    Then it is lent nothing until what was lent has left the window
+  Scenario: Services without loans make room for others
+    Given a lender with loans to the maximum number of services
+    When a gateway requests retries for another service
+    Then it gets nothing until the earlier loans have left the window
--- a/features/control/watch.feature
+++ b/features/control/watch.feature
@@ -1,6 +1,6 @@
-Feature: Gateways learn of routes, endpoints and each other by watching
+Feature: Gateways receive routes, endpoints and members by watching
 
-  Scenario Outline: The highest version wins and no other changes anything
+  Scenario Outline: Only a version above the one in force is adopted
     When versions <sent> are put
     Then version <wanted> is in force with its own document
 
@@ -15,41 +15,41 @@
     And the state is saved and loaded
     Then version 4 is in force with its own document
 
-  Scenario: An endpoint that signs off is told apart from a silent one
-    Given a hub that knows endpoints "left" and "silent"
-    When "left" signs off and "silent" is silent for 9 s
-    Then a watch since then names "left" as left and "silent" as gone
+  Scenario: A sign-off is distinguished from an expired lease
+    Given a coordinator with endpoints "left" and "silent"
+    When "left" signs off and "silent" sends nothing for 9 s
+    Then the next watch returns "left" as left and "silent" as gone
 
-  Scenario: A late heartbeat does not bring back what has signed off
-    Given a hub that knows endpoints "left" and "other"
-    When "left" signs off and its earlier heartbeat comes late
-    Then a new watch does not name "left"
+  Scenario: A late heartbeat does not restore an endpoint that signed off
+    Given a coordinator with endpoints "left" and "other"
+    When "left" signs off and an earlier heartbeat of it arrives late
+    Then a new watch does not return "left"
 
-  Scenario: A new leader learns endpoints from what a gateway brings along
-    Given a hub that knows nothing
-    When a gateway watches and brings along an endpoint and a tombstone
-    Then the hub knows the endpoint, and a late heartbeat revives no other
+  Scenario: A new leader learns endpoints that a gateway reports
+    Given a coordinator without endpoints
+    When a gateway watches and reports an endpoint and a tombstone
+    Then the coordinator has the endpoint, and a late heartbeat restores no other
 
-  Scenario: A peer link carries on after the other side has restarted
+  Scenario: A peer link reconnects after the other side has restarted
     When the process at the other end of a peer link restarts
     Then messages arrive there again
 
-  Scenario Outline: A replica that <case> is <step>
+  Scenario Outline: A joining replica that <case> is <step>
     Then a joining replica that <case> is then <step>
 
     Examples:
       | case                                     | step                  |
       | is new                                   | made a learner        |
-      | learns, with a voter missing             | promoted              |
-      | learns again with an empty disk          | promoted for itself   |
-      | learns while a voter is silent for 5 s   | promoted for another  |
-      | learns while a voter is silent for 1.1 s | promoted for another  |
-      | learns while a voter is silent for 0.5 s | promoted              |
-      | learns and has not answered for 0.5 s    | left alone            |
-      | learns and has not caught up             | left alone            |
-      | learns beside one that has not caught up | promoted              |
-      | learns while all voters live             | promoted              |
-      | votes already                            | left alone            |
+      | is a learner, with a voter missing             | promoted              |
+      | is a learner again with an empty disk          | promoted for itself   |
+      | is a learner while a voter is unresponsive for 5 s   | promoted for another  |
+      | is a learner while a voter is unresponsive for 1.1 s | promoted for another  |
+      | is a learner while a voter is unresponsive for 0.5 s | promoted              |
+      | is a learner and has not answered for 0.5 s    | left alone            |
+      | is a learner and has not caught up             | left alone            |
+      | is a learner beside one that has not caught up | promoted              |
+      | is a learner while all voters respond          | promoted              |
+      | is a voter already                             | left alone            |
 
   Scenario Outline: A vote for a replica <that> is refused
     Then a vote for a replica <that> is refused as "<reason>"
@@ -63,20 +63,20 @@
       | with the address of one that answers | address of 'b#d', which answers |
       | with the name of the leader          | name of 'a#d', which answers    |
 
-  Scenario: A replica takes the place of one with its name that is silent
-    Then a replica with the name of one silent for 0.5 s is made a learner
+  Scenario: A replica replaces an unresponsive one of the same name
+    Then a replica named like one that is unresponsive for 0.5 s is made a learner
 
-  Scenario Outline: Of <voters> voters one that is silent for <seconds> s <fate>
-    Then of <voters> voters one that is silent for <seconds> s <fate>
+  Scenario Outline: Of <voters> voters, one that is unresponsive for <seconds> s <outcome>
+    Then of <voters> voters, one that is unresponsive for <seconds> s <outcome>
 
     Examples:
-      | voters | seconds | fate     |
+      | voters | seconds | outcome  |
       | 3      | 60      | stays    |
       | 4      | 0.8     | stays    |
-      | 4      | 1.1     | is retired |
-      | 4      | 11      | is retired |
+      | 4      | 1.1     | is removed |
+      | 4      | 11      | is removed |
       | 5      | 5       | stays    |
-      | 5      | 11      | is retired |
+      | 5      | 11      | is removed |
 
-  Scenario: Nothing is acknowledged before enough replicas hold it
+  Scenario: Nothing is acknowledged before enough replicas store it
     Then a system of 1 replica that needs 3 refuses a version
--- a/features/steps/controlquarantine_steps.py
+++ b/features/steps/controlquarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the quarantine in the replicated state."""
+"""Steps for the quarantine in the replicated state."""
 
 import random
 
@@ -25,7 +25,7 @@
 def report(
     number: int, age_s: float = 0.0, suspects: tuple[str, ...] = ("poison",)
 ) -> crashreports.ReportCrashes:
-    """Return a gateway's report of a crash."""
+    """Return a gateway's report of one crash."""
     return crashreports.ReportCrashes(
         gateway=f"gw-{number}",
         crashes=(
@@ -47,13 +47,13 @@
 
 
 def send(site, command) -> object:
-    """Call the leader and let the answer come."""
+    """Call the leader and return its answer."""
     operation = site.call(site.leader().name, command, roam=False)
     site.run_until(site.now + STEP_S)
     return operation.answer
 
 
-def add(site, fingerprint: fingerprints.Fingerprint) -> None:
+def add_entry(site, fingerprint: fingerprints.Fingerprint) -> None:
     """Put a request into quarantine as an operator does."""
     site.call(
         site.leader().name,
@@ -63,7 +63,7 @@
 
 
 def report_all(site, numbers) -> None:
-    """Report crashes one after the other."""
+    """Report crashes one after another."""
     for number in numbers:
         send(site, report(number))
 
@@ -91,7 +91,7 @@
 
 @given("an entry of an operator")
 def an_operators_entry(context):
-    add(context.site, ledgerpatterns.print_of("poison"))
+    add_entry(context.site, ledgerpatterns.print_of("poison"))
     context.site.run_until(context.site.now + SETTLE_S)
 
 
@@ -103,7 +103,7 @@
     )
     site = context.site
     answers = []
-    # Without a pause nothing is applied between two calls.
+    # Without a pause no entry is applied between the calls.
     for message in [*getattr(context, "unsent", ()), cleared]:
         leader = site.leader()
         leader.node.call(message, site.clock(leader), answers.append)
@@ -141,7 +141,7 @@
 
 
 @when("two crashes are reported and the leader is lost")
-def two_and_lost(context):
+def report_and_lose_leader(context):
     site = context.site
     report_all(site, range(2))
     lost = site.leader()
@@ -169,8 +169,8 @@
     send(site, report(2))
 
 
-@when("the disk has room again and the report is repeated")
-def room_again(context):
+@when("the disk has space again and the reports are repeated")
+def free_disk(context):
     site = context.site
     context.full.disk.full = False
     site.run_until(site.now + SETTLE_S)
@@ -219,10 +219,10 @@
         )
     else:
         for number in range(quarantine.MAX_PER_WORKSPACE):
-            add(site, ledgerpatterns.print_of(f"r{number}"))
+            add_entry(site, ledgerpatterns.print_of(f"r{number}"))
     site.run_until(site.now + SETTLE_S)
     send(site, report(9, suspects=("other",)))
-    # A report that was late on its way.
+    # A delayed report of an earlier crash.
     send(site, report(1, age_s=site.now))
 
 
@@ -235,13 +235,13 @@
 # --- trials ------------------------------------------------------------------
 
 
-@when("two gateways ask for a trial {seconds:g} s later")
-def ask_for_trial(context, seconds):
+@when("two gateways request a trial {seconds:g} s later")
+def request_trial(context, seconds):
     site = context.site
     site.run_until(site.now + seconds)
     name = site.leader().name
-    context.asked_at = site.now
-    asked = [
+    context.requested_at = site.now
+    operations = [
         site.call(
             name,
             crashreports.StartTrial(
@@ -252,7 +252,7 @@
         for gateway in ("gw-1", "gw-2")
     ]
     site.run_until(site.now + SETTLE_S)
-    context.granted = [operation.answer.granted for operation in asked]
+    context.granted = [operation.answer.granted for operation in operations]
 
 
 @then("one of them is granted it")
@@ -266,14 +266,14 @@
     (entry,) = state.quarantine.entries.values()
     assert entry.trials == 1
     wall = context.site.leader().node.wall()
-    started = wall - (context.site.now - context.asked_at)
+    started = wall - (context.site.now - context.requested_at)
     assert abs(entry.trial_at - started - seconds) < 1.0, entry
 
 
 # --- faults ------------------------------------------------------------------
 
 
-@when("a report with {fault} comes three times")
+@when("a report with {fault} arrives three times")
 def faulty_report(context, fault):
     for number in range(3):
         made = {
@@ -294,7 +294,7 @@
     wanted = [ledgerpatterns.print_of("other", "other")]
     wanted += [ledgerpatterns.print_of(f"r{number}") for number in range(count)]
     for fingerprint in wanted:
-        add(site, fingerprint)
+        add_entry(site, fingerprint)
     assert count > quarantine.MAX_PER_WORKSPACE
 
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps on control processes that have no disk."""
+"""Steps for control processes without a disk."""
 
 import asyncio
 import json
@@ -22,10 +22,10 @@
 VERSION = "colts_control_config_version"
 
 
-@given("{replicas:d} replicas and {relays:d} relays in processes of their own")
+@given("{replicas:d} replicas and {relays:d} relays in separate processes")
 def control_processes(context, replicas, relays):
     count = replicas + relays
-    # In order of their addresses, so that relays come first among the seeds.
+    # Sorted by address, so that relays come first among the seeds.
     found = sorted(ports.free_ports(count))
     context.addresses = [f"127.0.0.1:{port}" for port in found]
     context.relays = context.addresses[:relays]
@@ -36,9 +36,9 @@
             context.addresses, ports.free_ports(count), strict=True
         )
     }
-    for place, address in enumerate(context.addresses):
+    for index, address in enumerate(context.addresses):
         settings = {
-            "replica": f"r{place}",
+            "replica": f"r{index}",
             "listen": address,
             "admin_listen": context.admin[address],
             "admin_token": TOKEN,
@@ -49,28 +49,28 @@
             "structured_logs": True,
         }
         if address not in context.relays:
-            settings["data_folder"] = str(context.folder / f"data-{place}")
-        path = context.folder / f"control-{place}.json"
+            settings["data_folder"] = str(context.folder / f"data-{index}")
+        path = context.folder / f"control-{index}.json"
         path.write_text(json.dumps(settings))
         module = "_coltsfootroad.commands.control"
         command = [sys.executable, "-m", module, "--settings", str(path)]
         program = fleet_lib.Program(
-            f"control {place}", command, context.folder / f"{place}.log"
+            f"control {index}", command, context.folder / f"{index}.log"
         )
         program.start()
         context.programs.append(program)
-    context.add_cleanup(end_all, context.programs)
+    context.add_cleanup(kill_all, context.programs)
 
 
-def end_all(programs) -> None:
-    """End what was started."""
+def kill_all(programs) -> None:
+    """Kill the processes that still run."""
     for program in programs:
         if program.is_running:
             program.kill()
 
 
-def ask(address: str, message: object, seconds: float) -> object:
-    """Return the leader's answer by way of one process; None without one."""
+def call_leader(address: str, message: object, seconds: float) -> object:
+    """Return the leader's answer through one process, None without one."""
 
     async def run():
         link = links.GrpcControlLink((address,))
@@ -89,27 +89,30 @@
     return asyncio.run(run())
 
 
-@then("a version is taken within {seconds:g} s by way of each of them")
-def taken(context, seconds):
+@then(
+    "each process accepts a version within {seconds:g} s and forwards it to the"
+    " leader"
+)
+def check_accepted(context, seconds):
     for number, address in enumerate(context.addresses):
         put = messages.PutRoutes(
             config=gatewaybed.config(number + 1), source=b"%d" % number
         )
-        found = ask(address, put, seconds)
+        found = call_leader(address, put, seconds)
         assert found is not None, address
         assert found.version == number + 1, found
 
 
-@then("it is read back by way of each of them")
+@then("the version is read back through each process")
 def read_back(context):
     wanted = len(context.addresses)
     for address in context.addresses:
-        found = ask(address, messages.ReadRoutes(), 5.0)
+        found = call_leader(address, messages.ReadRoutes(), 5.0)
         assert found is not None and found.version == wanted, found
 
 
 def admin(address: str, path: str) -> str:
-    """Return what a program shows to operators."""
+    """Return a page of a program's admin listener."""
     request = urllib.request.Request(
         f"http://{address}{path}", headers={"Authorization": f"Bearer {TOKEN}"}
     )
@@ -118,13 +121,13 @@
 
 
 def metric(address: str, name: str) -> float:
-    """Return a metric without labels of ours."""
+    """Return the value of a metric without labels."""
     lines = admin(address, "/metrics").splitlines()
     (line,) = [line for line in lines if line.startswith(name)]
     return float(line.rpartition(" ")[2])
 
 
-@then("each relay shows operators the version and who leads")
+@then("each relay shows operators the version and the leader")
 def shown(context):
     for address in context.relays:
         at = context.admin[address]
@@ -136,8 +139,8 @@
         assert state["info"]["leader"] in context.addresses, state["info"]
 
 
-@then("the relay names no leader and ends well when told to stop")
-def alone(context):
+@then("the relay names no leader and exits with status 0 when stopped")
+def check_without_leader(context):
     async def hello():
         link = links.GrpcControlLink(tuple(context.relays))
         answer = await link.call(messages.ReplicaHello(), 10.0)
--- a/features/steps/watch_steps.py
+++ b/features/steps/watch_steps.py
@@ -1,4 +1,4 @@
-"""Steps of what gateways learn from the control state."""
+"""Steps for watches of gateways, peer links and replica membership."""
 
 import asyncio
 import random
@@ -42,23 +42,23 @@
     coordinator: coordinator_lib.Coordinator,
     now: float,
     revision: int = 0,
-    brought=(),
+    announcements=(),
 ):
-    """Return what a gateway learns."""
+    """Return the response to a gateway's watch."""
     return coordinator.on_watch(
         watching.Watch(
             member=MEMBER,
             routes_version=-1,
             epoch=coordinator.epoch,
             registry_mark=revision,
-            announcements=tuple(brought),
+            announcements=tuple(announcements),
         ),
         now,
     )
 
 
 @when("versions {sent} are put")
-def put(context, sent):
+def put_versions(context, sent):
     context.state = state_lib.ControlState()
     for version in sent.split():
         first = context.state.routes.version < int(version)
@@ -72,49 +72,51 @@
 
 
 @when("the state is saved and loaded")
-def saved(context):
+def save_and_load(context):
     context.state = state_lib.load(state_lib.save(context.state))
 
 
 @then("version {wanted:d} is in force with its own document")
 def in_force(context, wanted):
-    kept = context.state.routes
-    assert kept.version == wanted
-    assert kept.source == f"document {wanted} first".encode(), kept.source
+    routes = context.state.routes
+    assert routes.version == wanted
+    assert routes.source == f"document {wanted} first".encode(), routes.source
 
 
-@given('a hub that knows endpoints "{first}" and "{second}"')
-def coordinator_knows(context, first, second):
-    coordinator_knows_nothing(context)
+@given('a coordinator with endpoints "{first}" and "{second}"')
+def coordinator_with_endpoints(context, first, second):
+    coordinator_without_endpoints(context)
     for name in (first, second):
         context.coordinator.record_announcement(announcement(name), 8.0, START)
     context.revision = watch(context.coordinator, START).registry_mark
 
 
-@given("a hub that knows nothing")
-def coordinator_knows_nothing(context):
+@given("a coordinator without endpoints")
+def coordinator_without_endpoints(context):
     context.coordinator = coordinator_lib.Coordinator(
         "epoch", state_lib.ControlState(), START
     )
 
 
-@when('"{left}" signs off and "{silent}" is silent for {seconds:g} s')
-def signs_off(context, left, silent, seconds):
+@when('"{left}" signs off and "{silent}" sends nothing for {seconds:g} s')
+def sign_off(context, left, silent, seconds):
     context.coordinator.record_announcement(
         announcement(left, 2**62, "gone"), 8.0, START + 1
     )
     context.now = START + seconds
 
 
-@then('a watch since then names "{left}" as left and "{silent}" as gone')
-def names(context, left, silent):
-    news = watch(context.coordinator, context.now, context.revision)
-    assert [word.endpoint for word in news.changes.left] == [left], news
-    assert news.changes.gone == (silent,), news
+@then('the next watch returns "{left}" as left and "{silent}" as gone')
+def returns_ends(context, left, silent):
+    response = watch(context.coordinator, context.now, context.revision)
+    assert [sign_off.endpoint for sign_off in response.changes.left] == [
+        left
+    ], response
+    assert response.changes.gone == (silent,), response
 
 
-@when('"{left}" signs off and its earlier heartbeat comes late')
-def late(context, left):
+@when('"{left}" signs off and an earlier heartbeat of it arrives late')
+def late_heartbeat(context, left):
     coordinator = context.coordinator
     coordinator.record_announcement(
         announcement(left, 2**62, "gone"), 8.0, START
@@ -122,20 +124,24 @@
     coordinator.record_announcement(announcement(left, 2), 8.0, START + 1)
 
 
-@then('a new watch does not name "{left}"')
-def not_named(context, left):
-    news = watch(context.coordinator, START + 2)
-    assert left not in [a.endpoint for a in news.changes.announcements], news
+@then('a new watch does not return "{left}"')
+def not_returned(context, left):
+    response = watch(context.coordinator, START + 2)
+    assert left not in [
+        a.endpoint for a in response.changes.announcements
+    ], response
 
 
-@when("a gateway watches and brings along an endpoint and a tombstone")
-def brings(context):
-    brought = (announcement("alive", 7), announcement("dead", 0, "gone"))
-    watch(context.coordinator, START, brought=brought)
+@when("a gateway watches and reports an endpoint and a tombstone")
+def report_endpoints(context):
+    announcements = (announcement("alive", 7), announcement("dead", 0, "gone"))
+    watch(context.coordinator, START, announcements=announcements)
 
 
-@then("the hub knows the endpoint, and a late heartbeat revives no other")
-def knows(context):
+@then(
+    "the coordinator has the endpoint, and a late heartbeat restores no other"
+)
+def has_endpoint(context):
     context.coordinator.record_announcement(announcement("dead", 9), 8.0, START)
     assert list(context.coordinator.registry.registrations) == ["alive"]
 
@@ -164,7 +170,7 @@
     reached = await send_until(link, arrived)
     assert reached, "nothing arrived before the restart"
     await server.stop(grace=None)
-    # The end of the stream is known before the next message is written.
+    # Lets the link notice the end of the stream before the next message.
     await asyncio.sleep(0.3)
     link.send(message())
     await asyncio.sleep(0.1)
@@ -178,7 +184,7 @@
 
 
 async def send_until(link: links.PeerLink, arrived: asyncio.Event) -> bool:
-    """Send again and again until something has arrived."""
+    """Send repeatedly until a message has arrived."""
     for _ in range(60):
         link.send(message())
         try:
@@ -190,7 +196,7 @@
 
 
 def message() -> peers.VoteReply:
-    """Return some message between replicas."""
+    """Return a message between replicas."""
     return peers.VoteReply(
         term=1, sender="me", pre=False, granted=False, asked_term=1
     )
@@ -211,36 +217,36 @@
 
 @then("a joining replica that {case} is then {step}")
 def next_step(context, case, step):
-    decide = membership_lib.Membership(required_voters=3)
+    membership = membership_lib.Membership(required_voters=3)
     voters = [replica(n) for n in ("a", "b", "c")]
     new = replica("d")
     silences = dict.fromkeys(("b#d", "c#d", "d#d"), 0.1)
     learners: tuple = (new,)
-    if case in ("is new", "votes already"):
+    if case in ("is new", "is a voter already"):
         learners = ()
-    if case == "learns, with a voter missing":
+    if case == "is a learner, with a voter missing":
         voters = voters[:2]
-    elif case == "learns again with an empty disk":
+    elif case == "is a learner again with an empty disk":
         new = replica("c", "empty")
         learners = (new,)
         silences[new.identity] = 0.1
-    elif case.startswith("learns while a voter is silent"):
+    elif case.startswith("is a learner while a voter is unresponsive"):
         silences["b#d"] = float(case.split()[-2])
-    elif case.startswith("learns and has not answered"):
+    elif case.startswith("is a learner and has not answered"):
         silences["d#d"] = float(case.split()[-2])
-    elif case == "votes already":
+    elif case == "is a voter already":
         new = voters[1]
     caught_up = {learner.identity for learner in learners}
-    if case == "learns and has not caught up":
+    if case == "is a learner and has not caught up":
         caught_up = set()
-    elif case == "learns beside one that has not caught up":
+    elif case == "is a learner beside one that has not caught up":
         slow = replica("e")
         learners = (slow, new)
         silences[slow.identity] = 0.1
     current = replicas.ReplicaSet(voters=tuple(voters), learners=learners)
-    change = decide.to_learn(new, current)
+    change = membership.to_learn(new, current)
     if change is None:
-        change = decide.to_promote(current, silences, caught_up)
+        change = membership.to_promote(current, silences, caught_up)
     wanted = {
         "made a learner": (messages.ReplicaAction.LEARN, ""),
         "promoted": (messages.ReplicaAction.PROMOTE, ""),
@@ -252,11 +258,11 @@
     assert found == wanted, found
 
 
-def asked_beside(new: replicas.Replica, silence_s: float):
-    """Return what keeps a replica from learning beside three voters."""
-    decide = membership_lib.Membership(required_voters=3)
+def join_refusal_beside_voters(new: replicas.Replica, silence_s: float):
+    """Return why a replica may not join three voters, empty if it may."""
+    membership = membership_lib.Membership(required_voters=3)
     current = replicas.ReplicaSet(voters=tuple(replica(n) for n in "abc"))
-    return decide.unfit(new, current, {"b#d": silence_s, "c#d": 0.1})
+    return membership.unfit(new, current, {"b#d": silence_s, "c#d": 0.1})
 
 
 @then('a vote for a replica {that} is refused as "{reason}"')
@@ -275,27 +281,30 @@
             name="a", disk="x", address="n:1"
         ),
     }[that]
-    found = asked_beside(new, 0.1)
+    found = join_refusal_beside_voters(new, 0.1)
     assert reason in found, found
 
 
 @then(
-    "a replica with the name of one silent for {seconds:g} s is made a learner"
+    "a replica named like one that is unresponsive for {seconds:g} s is made a"
+    " learner"
 )
-def silent_namesake(context, seconds):
-    assert asked_beside(replica("b", "empty"), seconds) == ""
+def unresponsive_namesake(context, seconds):
+    assert join_refusal_beside_voters(replica("b", "empty"), seconds) == ""
 
 
-@then("of {voters:d} voters one that is silent for {seconds:g} s {fate}")
-def fate_of(context, voters, seconds, fate):
-    decide = membership_lib.Membership(required_voters=3)
+@then(
+    "of {voters:d} voters, one that is unresponsive for {seconds:g} s {outcome}"
+)
+def check_removal(context, voters, seconds, outcome):
+    membership = membership_lib.Membership(required_voters=3)
     current = replicas.ReplicaSet(
         voters=tuple(replica(n) for n in "abcde"[:voters])
     )
     silences = {f"{n}#d": 0.1 for n in "bcde"[: voters - 1]}
     silences["b#d"] = seconds
-    change = decide.to_remove(current, silences)
-    assert (change is not None) == (fate == "is retired"), change
+    change = membership.to_remove(current, silences)
+    assert (change is not None) == (outcome == "is removed"), change
 
 
 @then("a system of 1 replica that needs {needed:d} refuses a version")
