--- a/features/control/watch.feature
+++ b/features/control/watch.feature
@@ -38,18 +38,18 @@
     Then a joining replica that <case> is then <step>
 
     Examples:
-      | case                                     | step                  |
-      | is new                                   | made a learner        |
-      | is a learner, with a voter missing             | promoted              |
-      | is a learner again with an empty disk          | promoted for itself   |
-      | is a learner while a voter is unresponsive for 5 s   | promoted for another  |
-      | is a learner while a voter is unresponsive for 1.1 s | promoted for another  |
-      | is a learner while a voter is unresponsive for 0.5 s | promoted              |
-      | is a learner and has not answered for 0.5 s    | left alone            |
-      | is a learner and has not caught up             | left alone            |
-      | is a learner beside one that has not caught up | promoted              |
-      | is a learner while all voters respond          | promoted              |
-      | is a voter already                             | left alone            |
+      | case                                                 | step                 |
+      | is new                                               | made a learner       |
+      | is a learner, with a voter missing                   | promoted             |
+      | is a learner again with an empty disk                | promoted for itself  |
+      | is a learner while a voter is unresponsive for 5 s   | promoted for another |
+      | is a learner while a voter is unresponsive for 1.1 s | promoted for another |
+      | is a learner while a voter is unresponsive for 0.5 s | promoted             |
+      | is a learner and has not answered for 0.5 s          | left alone           |
+      | is a learner and has not caught up                   | left alone           |
+      | is a learner beside one that has not caught up       | promoted             |
+      | is a learner while all voters respond                | promoted             |
+      | is a voter already                                   | left alone           |
 
   Scenario Outline: A vote for a replica <that> is refused
     Then a vote for a replica <that> is refused as "<reason>"
@@ -70,12 +70,12 @@
     Then of <voters> voters, one that is unresponsive for <seconds> s <outcome>
 
     Examples:
-      | voters | seconds | outcome  |
-      | 3      | 60      | stays    |
-      | 4      | 0.8     | stays    |
+      | voters | seconds | outcome    |
+      | 3      | 60      | stays      |
+      | 4      | 0.8     | stays      |
       | 4      | 1.1     | is removed |
       | 4      | 11      | is removed |
-      | 5      | 5       | stays    |
+      | 5      | 5       | stays      |
       | 5      | 11      | is removed |
 
   Scenario: Nothing is acknowledged before enough replicas store it
--- a/src/_coltsfootroad/control/node.py
+++ b/src/_coltsfootroad/control/node.py
@@ -189,7 +189,7 @@
                 pass
         finally:
             self.in_process = False
-        self.update_hub(now)
+        self.update_coordinator(now)
 
     def process_one(self, now: float) -> bool:
         """Carry out one `Ready`; return whether there may be another."""
@@ -317,7 +317,7 @@
         else:
             self.snapshot_due_at = now + FULL_DISK_RETRY_S
 
-    def update_hub(self, now: float) -> None:
+    def update_coordinator(self, now: float) -> None:
         """Keep a hub exactly while leading."""
         ready = self.raft.is_leader and (
             self.raft.applied >= self.raft.term_start
