--- a/features/steps/proofs_steps.py
+++ b/features/steps/proofs_steps.py
@@ -51,10 +51,10 @@
             self.gateway.adopt(gatewaybed.config(held))
         self.watch = watch_lib.Watch(self.gateway)
 
-    def receive(self, requested: int, news: watching.News) -> None:
+    def receive(self, requested: int, reply: watching.News) -> None:
         """Apply a response to a request from a given version."""
         question = attrs.evolve(self.watch.question(), routes_version=requested)
-        self.watch.take(question, news, REQUESTED_AT_S)
+        self.watch.take(question, reply, REQUESTED_AT_S)
 
     @property
     def version(self) -> int:
@@ -80,11 +80,11 @@
         if held != NONE:
             self.watch_cache.routes.adopt(gatewaybed.config(held))
 
-    def receive(self, requested: int, news: watching.News) -> None:
+    def receive(self, requested: int, reply: watching.News) -> None:
         """Apply a response to a request from a given version."""
         request = watching.RelayWatch(relay=RELAY, routes_version=requested)
         self.watch_cache.apply_response(
-            request, news, REQUESTED_AT_S, REQUESTED_AT_S + 0.01
+            request, reply, REQUESTED_AT_S, REQUESTED_AT_S + 0.01
         )
 
     @property
@@ -133,15 +133,15 @@
 
 @when("the leader is frozen while its successor takes a version")
 def leader_is_frozen(context):
-    depose(context.world, context.go)
+    depose(context.world, context.run)
 
 
 @then("the gateways that reach only the deposed leader get no proof from it")
 def no_proof(context):
-    check_deposed(context.world, context.go)
+    check_deposed(context.world, context.run)
 
 
-def depose(world, go) -> None:
+def depose(world, run) -> None:
     """Freeze the leader and cut its zone's gateways off from other processes."""
     assert world.leader().name == "replica-0"
     world.isolate("replica-0")
@@ -151,15 +151,15 @@
                 if process != "replica-0":
                     world.cut(name, process)
     world.frozen["replica-0"] = world.now + FROZEN_S
-    go(1.5)
+    run(1.5)
     assert world.leader().name != "replica-0"
     world.put_version()
 
 
-def check_deposed(world, go) -> None:
+def check_deposed(world, run) -> None:
     """Check that a deposed leader that runs again confirms no version."""
     put_at = world.acked[-1][0]
-    go(FROZEN_S + OBSERVED_S)
+    run(FROZEN_S + OBSERVED_S)
     zone_views = [
         gateway.view
         for gateway in world.gateways.values()
@@ -266,9 +266,9 @@
 
 def check_deposed_leader() -> None:
     """Check that a deposed leader confirms no version."""
-    with relayhistories.fleet(4) as (world, go):
-        depose(world, go)
-        check_deposed(world, go)
+    with relayhistories.fleet(4) as (world, run):
+        depose(world, run)
+        check_deposed(world, run)
 
 
 def check_late_request() -> None:
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -53,7 +53,7 @@
 @given("{count:d} gateways that each watch a relay of their zone")
 def watching_fleet(context, count):
     manager = relayhistories.fleet(count)
-    context.world, context.go = manager.__enter__()
+    context.world, context.run = manager.__enter__()
     context.add_cleanup(manager.__exit__, None, None, None)
     for gateway in context.world.gateways.values():
         process = relayhistories.watched_process(context.world, gateway)
@@ -101,7 +101,7 @@
 
 @then("it is in force at all gateways within {seconds:g} s")
 def in_force(context, seconds):
-    context.go(seconds)
+    context.run(seconds)
     newest = context.world.acked[-1][1]
     found = {
         name: gateway.view.version
@@ -129,7 +129,7 @@
     world.lose_leader(0.4)
     world.processes["replica-0"].stop()
     context.lost = relayhistories.run_and_find_lost_members(
-        world, context.go, 4.0
+        world, context.run, 4.0
     )
 
 
@@ -156,7 +156,7 @@
 
 @then("each watches a process of its own zone after {seconds:g} s")
 def own_zone(context, seconds):
-    context.go(seconds)
+    context.run(seconds)
     for gateway in context.new:
         process = relayhistories.watched_process(context.world, gateway)
         assert process.zone == gateway.settings.availability_zone, process.name
@@ -169,7 +169,7 @@
     context.answered = []
     for process in context.world.processes.values():
         count_answers(context.answered, process)
-    context.go(seconds)
+    context.run(seconds)
 
 
 def count_answers(answered, process):
@@ -186,9 +186,11 @@
 @then("the leader has answered at most half as many watches as gateways sent")
 def answered(context):
     of_gateways = [
-        who for who, kind in context.answered if kind is watching.Watch
+        process for process, kind in context.answered if kind is watching.Watch
+    ]
+    by_leader = [
+        process for process, _ in context.answered if process == context.leader
     ]
-    by_leader = [who for who, _ in context.answered if who == context.leader]
     assert 0 < len(by_leader) <= len(of_gateways) / 2, (
         len(by_leader),
         len(of_gateways),
@@ -241,7 +243,7 @@
 def known_endpoints(context, count):
     for number in range(count):
         context.world.announce(f"e{number}")
-    context.go(0.5)
+    context.run(0.5)
 
 
 @when("all control processes restart at once")
@@ -262,7 +264,7 @@
 @then("each gateway keeps using all {count:d} endpoints")
 def keeps_using(context, count):
     for _ in range(15):
-        context.go(0.1)
+        context.run(0.1)
         for name, gateway in context.world.gateways.items():
             found = gateway.endpoints.of_service("s")
             assert len(found) == count, (name, len(found))
--- a/features/steps/retrylending_steps.py
+++ b/features/steps/retrylending_steps.py
@@ -87,13 +87,13 @@
         ).amount
         for after_s in (0.0, later - 0.1, later)
     ]
-    context.kept = len(context.lender.services)
+    context.service_count = len(context.lender.services)
 
 
 @then("it gets nothing until the earlier loans have left the window")
 def lent_later(context):
     assert context.amounts == [0, 0, 1], context.amounts
-    assert context.kept == 1, context.kept
+    assert context.service_count == 1, context.service_count
 
 
 @when(
--- a/features/support/relayhistories.py
+++ b/features/support/relayhistories.py
@@ -257,15 +257,15 @@
 
 def resets_proof_age(self, request, now):
     """Return the response with a proof age of zero."""
-    news = ORIGINAL_ON_WATCH(self, request, now)
-    if isinstance(news, watching.News):
-        return attrs.evolve(news, proof_age_s=0.0)
-    return news
+    response = ORIGINAL_ON_WATCH(self, request, now)
+    if isinstance(response, watching.News):
+        return attrs.evolve(response, proof_age_s=0.0)
+    return response
 
 
-def dates_proof_at_response(self, request, news, _asked_at, now):
+def dates_proof_at_response(self, request, response, _requested_at, now):
     """Date the proof at the arrival of the response."""
-    ORIGINAL_APPLY_RESPONSE(self, request, news, now, now)
+    ORIGINAL_APPLY_RESPONSE(self, request, response, now, now)
 
 
 async def answers_relays_from_cache(self, request):
--- a/features/support/relayworld.py
+++ b/features/support/relayworld.py
@@ -144,16 +144,16 @@
         if self.coordinator is None:
             return outcomes.NotLeader(hint=self.world.leader_address())
         if isinstance(request, watching.RelayWatch):
-            news = self.coordinator.on_relay_watch(request, self.world.now)
+            response = self.coordinator.on_relay_watch(request, self.world.now)
         else:
             near = watchcache.relays_in_zone(
                 self.coordinator.fleet_state, request, self.watch_cache.relay
             )
             if near:
                 return watching.AskElsewhere(relays=near)
-            news = self.coordinator.on_watch(request, self.world.now)
+            response = self.coordinator.on_watch(request, self.world.now)
         return attrs.evolve(
-            news, replicas=tuple(self.world.replica_addresses())
+            response, replicas=tuple(self.world.replica_addresses())
         )
 
 
@@ -380,13 +380,13 @@
         if self.is_frozen(process.name):
             return False
         replicas = [p for p in self.processes.values() if p.can_lead]
-        heard = [
+        connected = [
             p
             for p in replicas
             if p is process
             or (p.up and frozenset((p.name, process.name)) not in self.cuts)
         ]
-        return len(heard) * 2 > len(replicas)
+        return len(connected) * 2 > len(replicas)
 
     # --- invariants --------------------------------------------------------
 
@@ -446,8 +446,8 @@
         alive = set(self.gateways)
         serving = {
             name
-            for name, word in self.endpoints.items()
-            if word.state is registry.EndpointState.SERVING
+            for name, announcement in self.endpoints.items()
+            if announcement.state is registry.EndpointState.SERVING
         }
         for name, gateway in self.gateways.items():
             assert gateway.view.version == newest, (name, gateway.view.version)
