--- a/features/control/quarantine.feature
+++ b/features/control/quarantine.feature
@@ -8,7 +8,7 @@
     Then every replica holds 1 entry with 3 crashes
     And the leader publishes it
 
-  Scenario Outline: An entry outlives <loss>
+  Scenario Outline: An entry survives <loss>
     Given an entry of three crashes
     When <loss> happens
     Then every replica holds 1 entry with 3 crashes
--- a/features/control/relays.feature
+++ b/features/control/relays.feature
@@ -52,7 +52,7 @@
     When a gateway of each zone starts that knows one replica only
     Then each watches a process of its own zone after 1 s
 
-  Scenario: Relays relieve the leader of the gateways of other zones
+  Scenario: The leader answers at most half as many watches as gateways send
     Given 60 gateways that each watch a relay of their zone
     When 5 s pass
     Then the leader has answered at most half as many watches as gateways sent
--- a/features/control/retrylending.feature
+++ b/features/control/retrylending.feature
@@ -3,10 +3,10 @@
   Scenario Outline: A leader since <leads> s with <lent> lent gets a request for <wanted>
     Given a leader since <leads> s that has lent <lent> retries
     When a gateway requests <wanted> of a slack of <slack>
-    Then it gets <amount>, or a retry delay of <again> s
+    Then it gets <amount>, or a retry delay of <delay> s
 
     Examples:
-      | leads | lent | wanted | slack | amount | again |
+      | leads | lent | wanted | slack | amount | delay |
       | 1     | 0    | 4      | 100   | 0      | 14    |
       | 14.9  | 0    | 4      | 100   | 0      | 0.5   |
       | 15    | 0    | 4      | 100   | 4      | 0     |
--- a/features/steps/retrylending_steps.py
+++ b/features/steps/retrylending_steps.py
@@ -48,10 +48,10 @@
     context.answer = over_the_wire(answer)
 
 
-@then("it gets {amount:d}, or a retry delay of {again:g} s")
-def lent(context, amount, again):
+@then("it gets {amount:d}, or a retry delay of {delay:g} s")
+def check_loan(context, amount, delay):
     assert context.answer.amount == amount, context.answer
-    assert math.isclose(context.answer.retry_after_s, again), context.answer
+    assert math.isclose(context.answer.retry_after_s, delay), context.answer
 
 
 @when("a gateway requests retries from a follower")
