--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -8,7 +8,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from _coltsfootroad.control import hub as hub_lib
+from _coltsfootroad.control import coordinator as coordinator_lib
 from _coltsfootroad.control import state as state_lib
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import addresses
@@ -38,7 +38,7 @@
 
     def __init__(self):
         self.now = 100.0
-        self.hub = new_hub(self.now)
+        self.coordinator = new_coordinator(self.now)
         self.endpoints = endpointset.EndpointSet()
         self.mark = 0
 
@@ -47,13 +47,15 @@
         if message.startswith("wait "):
             self.now += float(message.removeprefix("wait "))
         else:
-            self.hub.take_announcement(announcement(message), 8.0, self.now)
+            self.coordinator.record_announcement(
+                announcement(message), 8.0, self.now
+            )
             self.now += 1.0
         self.poll()
 
     def poll(self, repeated: tuple = ()) -> None:
         """Let the gateway poll the leader, and report announcements to it."""
-        news = watch(self.hub, self.now, self.mark, repeated)
+        news = watch(self.coordinator, self.now, self.mark, repeated)
         self.mark = news.registry_mark
         for found in news.changes.announcements:
             self.endpoints.learn(found, self.now)
@@ -64,32 +66,34 @@
 
     def used(self) -> tuple[bool, bool]:
         """Return whether the endpoint is used, at the leader and the gateway."""
-        return is_used(self.hub), bool(
+        return is_used(self.coordinator), bool(
             self.endpoints.serving_endpoints(SERVICE)
         )
 
 
-def new_hub(now: float) -> hub_lib.Hub:
+def new_coordinator(now: float) -> coordinator_lib.Coordinator:
     """Return the in-memory state of a new leader."""
-    return hub_lib.Hub("epoch", state_lib.ControlState(), now)
+    return coordinator_lib.Coordinator("epoch", state_lib.ControlState(), now)
 
 
-def watch(hub, now: float, mark: int, repeated: tuple = ()) -> watching.News:
+def watch(
+    coordinator, now: float, mark: int, repeated: tuple = ()
+) -> watching.News:
     """Return the changes since a revision."""
     question = watching.Watch(
         member=MEMBER,
         routes_version=-1,
-        epoch=hub.epoch,
+        epoch=coordinator.epoch,
         registry_mark=mark,
         announcements=repeated,
         wait_s=0.0,
     )
-    return hub.on_watch(question, now)
+    return coordinator.on_watch(question, now)
 
 
-def is_used(hub: hub_lib.Hub) -> bool:
+def is_used(coordinator: coordinator_lib.Coordinator) -> bool:
     """Return whether the endpoint is serving in a leader's registry."""
-    known = hub.registry.registrations.get(NAME)
+    known = coordinator.registry.registrations.get(NAME)
     serving = registry.EndpointState.SERVING
     return known is not None and known.announcement.state is serving
 
@@ -122,13 +126,16 @@
 @then("the endpoint is {state} at the leader and at a gateway")
 def is_known_as(context, state):
     wanted = state == "used"
-    assert context.site.used() == (wanted, wanted), context.site.hub.registry
+    assert context.site.used() == (
+        wanted,
+        wanted,
+    ), context.site.coordinator.registry
 
 
 @when("another leader receives {message} late and then the gateway's state")
 def other_leader(context, message):
-    context.other = new_hub(200.0)
-    context.other.take_announcement(announcement(message), 8.0, 200.0)
+    context.other = new_coordinator(200.0)
+    context.other.record_announcement(announcement(message), 8.0, 200.0)
     repeated = context.site.endpoints.current_announcements()
     watch(context.other, 200.1, 0, repeated)
 
--- a/features/support/crashworld.py
+++ b/features/support/crashworld.py
@@ -69,7 +69,7 @@
 
     async def call(self, request, sink, _reuse, may_send) -> upstream.CallEnd:
         """Carry a request to the engine that listens at the address."""
-        await asyncio.sleep(relayworld.TRAVEL_S)
+        await asyncio.sleep(relayworld.ONE_WAY_DELAY_S)
         engine = self.world.engines[self.address]
         if not engine.up or engine.dark or not may_send():
             return upstream.CallEnd.NOT_SENT
@@ -226,7 +226,7 @@
             address=engine.address,
             state=state,
         )
-        leader.hub.take_announcement(announcement, 8.0, self.now)
+        leader.coordinator.record_announcement(announcement, 8.0, self.now)
         leader.desk.wake()
 
     async def run_at(self, engine: Engine, body: bytes) -> None:
@@ -257,7 +257,7 @@
 
     async def probe(self, address: str) -> endpointprobe.Listener:
         """Answer a connection attempt as the engine's VM does."""
-        await asyncio.sleep(2 * relayworld.TRAVEL_S)
+        await asyncio.sleep(2 * relayworld.ONE_WAY_DELAY_S)
         engine = self.engines[address]
         if engine.dark:
             return endpointprobe.Listener.SILENT
@@ -367,7 +367,7 @@
             for gateway in world.gateways.values():
                 gatewaybed.settle_share(gateway, 1 / gateways)
             # It has led for as long as the gateways have run.
-            world.leader().hub.retry_lender.started_at = float("-inf")
+            world.leader().coordinator.retry_lender.started_at = float("-inf")
             try:
                 yield world, loop.run_until_complete
             finally:
--- a/features/support/retrydefects.py
+++ b/features/support/retrydefects.py
@@ -80,7 +80,7 @@
     return wrong
 
 
-@mutants.defect(DEFECTS, retrylending, "hold_time_s")
+@mutants.defect(DEFECTS, retrylending, "loan_lifetime_s")
 def a_loan_counts_only_until_its_expiry(original):
     def wrong(window_s):
         return original(window_s) - window_s
@@ -96,7 +96,7 @@
     return wrong
 
 
-@mutants.defect(DEFECTS, retrylending, "LOAN_PART")
+@mutants.defect(DEFECTS, retrylending, "LENDABLE_FRACTION")
 def the_whole_slack_is_lent_as_well(original):
     del original
     return 1.0
--- a/src/_coltsfootroad/control/node.py
+++ b/src/_coltsfootroad/control/node.py
@@ -11,13 +11,12 @@
 import attrs
 
 from _coltsfootroad.control import commandlog
+from _coltsfootroad.control import coordinator as coordinator_lib
 from _coltsfootroad.control import crashreports
 from _coltsfootroad.control import fences
-from _coltsfootroad.control import hub as hub_lib
 from _coltsfootroad.control import log as log_lib
 from _coltsfootroad.control import membership as membership_lib
 from _coltsfootroad.control import messages
-from _coltsfootroad.control import mirror as mirror_lib
 from _coltsfootroad.control import outcomes
 from _coltsfootroad.control import peers
 from _coltsfootroad.control import raft as raft_lib
@@ -28,6 +27,7 @@
 from _coltsfootroad.control import state as state_lib
 from _coltsfootroad.control import storage as storage_lib
 from _coltsfootroad.control import votermonitor
+from _coltsfootroad.control import watchcache
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import errors
 
@@ -120,8 +120,8 @@
     started_at: float = 0.0
     raft: raft_lib.Raft = attrs.field(init=False)
     state: state_lib.ControlState = attrs.field(init=False)
-    hub: hub_lib.Hub | None = None
-    mirror: mirror_lib.Mirror = attrs.field()
+    coordinator: coordinator_lib.Coordinator | None = None
+    watch_cache: watchcache.WatchCache = attrs.field()
     pending_commands: dict[int, PendingCommand] = attrs.Factory(dict)
     pending_ready: list[ready_lib.Ready] = attrs.Factory(list)
     blocked_until: float = 0.0
@@ -138,12 +138,12 @@
         membership_lib.Membership
     )
 
-    @mirror.default
-    def _own_mirror(self):
+    @watch_cache.default
+    def _own_watch_cache(self):
         relay = watching.Relay(
             name=self.replica.name, incarnation=0, address=self.replica.address
         )
-        return mirror_lib.Mirror(relay)
+        return watchcache.WatchCache(relay)
 
     def __attrs_post_init__(self):
         loaded = self.storage.load()
@@ -191,7 +191,7 @@
         if not self.is_blocked:
             self.raft.tick(now)
             self.update_membership(now)
-            self.convict_late(now)
+            self.quarantine_delayed(now)
         self.process(now)
 
     def next_wake(self) -> float:
@@ -216,7 +216,7 @@
                 pass
         finally:
             self.is_processing = False
-        self.update_hub(now)
+        self.update_coordinator(now)
 
     def process_next(self, now: float) -> bool:
         """Carry out one `Ready`; return whether there may be more work."""
@@ -348,36 +348,36 @@
         else:
             self.snapshot_due_at = now + FULL_DISK_RETRY_S
 
-    def update_hub(self, now: float) -> None:
+    def update_coordinator(self, now: float) -> None:
         """Create or drop the hub as this replica starts or stops leading."""
         ready = self.raft.is_leader and (
             self.raft.applied >= self.raft.term_start_index
         )
-        if ready and self.hub is None:
-            self.hub = self.create_hub(now)
+        if ready and self.coordinator is None:
+            self.coordinator = self.create_hub(now)
         elif ready:
-            self.hub.publish_quarantine(now)
-        elif not ready and self.hub is not None:
-            self.mirror.step_down(self.hub.heard_since, now)
-            self.hub = None
+            self.coordinator.publish_quarantine(now)
+        elif not ready and self.coordinator is not None:
+            self.watch_cache.step_down(self.coordinator.registry_since, now)
+            self.coordinator = None
         if not self.raft.is_leader and self.pending_commands:
             self.fail_pending_commands()
 
-    def create_hub(self, now: float) -> hub_lib.Hub:
+    def create_hub(self, now: float) -> coordinator_lib.Coordinator:
         """Return the hub of a new leader, based on its mirror if current."""
-        heard_since = self.mirror.heard_since
-        if not self.mirror.is_good(now):
-            self.mirror.book.clear()
-            heard_since = now
-        hub = hub_lib.Hub(
+        registry_since = self.watch_cache.registry_since
+        if not self.watch_cache.is_fresh(now):
+            self.watch_cache.fleet_state.clear()
+            registry_since = now
+        coordinator = coordinator_lib.Coordinator(
             epoch=f"{self.replica.identity}/{self.raft.term}",
             state=self.state,
             started_at=now,
-            book=self.mirror.book,
-            heard_since=heard_since,
+            fleet_state=self.watch_cache.fleet_state,
+            registry_since=registry_since,
         )
-        hub.take_relay(self.mirror.relay, hub_lib.NEVER)
-        return hub
+        coordinator.update_relay(self.watch_cache.relay, coordinator_lib.NEVER)
+        return coordinator
 
     def fail_pending_commands(self) -> None:
         """Reply to all pending commands that their outcome is unknown."""
@@ -393,7 +393,7 @@
             reply(self.info())
         elif isinstance(message, COMMANDS):
             self.propose(message, now, reply)
-        elif self.hub is None or not self.raft.has_lease(now):
+        elif self.coordinator is None or not self.raft.has_lease(now):
             reply(outcomes.NotLeader(hint=self.leader_address()))
         elif isinstance(message, messages.ChangeReplicas):
             self.change_replicas(message, now, reply)
@@ -402,13 +402,13 @@
         elif isinstance(message, messages.LeaveReplica):
             self.leave(message, reply, now)
         elif isinstance(message, crashreports.ReportCrashes):
-            self.take_crashes(message, reply, now)
+            self.record_crashes(message, reply, now)
         elif isinstance(message, retrylending.BorrowRetries):
-            reply(self.hub.retry_lender.lend(message, now))
+            reply(self.coordinator.retry_lender.lend(message, now))
         else:
             reply(self.answer_read(message, now))
 
-    def take_crashes(
+    def record_crashes(
         self, report: crashreports.ReportCrashes, reply: Reply, now: float
     ) -> None:
         """Handle a gateway's crash report and propose resulting quarantines.
@@ -416,15 +416,15 @@
         A quarantine that cannot be replicated now is proposed again with the
         next report.
         """
-        for command in self.hub.take_crashes(report, now):
+        for command in self.coordinator.record_crashes(report, now):
             self.propose(command, now, discard_reply)
         reply(outcomes.Done())
 
-    def convict_late(self, now: float) -> None:
+    def quarantine_delayed(self, now: float) -> None:
         """Propose quarantines that become due some time after a report."""
-        if self.hub is None or not self.raft.has_lease(now):
+        if self.coordinator is None or not self.raft.has_lease(now):
             return
-        for command in self.hub.convict_late(now):
+        for command in self.coordinator.quarantine_delayed(now):
             self.propose(command, now, discard_reply)
 
     def propose(self, command: object, now: float, reply: Reply) -> None:
