--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -88,7 +88,11 @@
     ablation(
         "start hold",
         "a gateway that has just started refuses at once",
-        (SOURCES + "gateway/startup.py", "HOLD_S = 1.5", "HOLD_S = 0.0"),
+        (
+            SOURCES + "gateway/startup.py",
+            "MAX_HOLD_S = 1.5",
+            "MAX_HOLD_S = 0.0",
+        ),
     ),
     ablation(
         "rests",
@@ -131,8 +135,8 @@
         "callers get their own zone's gateways only",
         (
             SOURCES + "gateway/directory.py",
-            "ENOUGH_NEAR = 4",
-            "ENOUGH_NEAR = 1",
+            "MIN_ADDRESSES = 4",
+            "MIN_ADDRESSES = 1",
         ),
     ),
     ablation(
--- a/features/steps/directory_steps.py
+++ b/features/steps/directory_steps.py
@@ -25,14 +25,14 @@
 
 @then("callers of zone {zone} get {near:d} near and {far:d} far ones")
 def near_and_far(context, zone, near, far):
-    found = directory.answer(context.members, zone)
+    found = directory.addresses_for_zone(context.members, zone)
     inside = [address for address in found if address.startswith(zone)]
     assert (len(inside), len(found) - len(inside)) == (near, far), found
 
 
 def far_ones(members, zone: str) -> set[str]:
     """Return the addresses of other zones that callers of a zone get."""
-    found = directory.answer(tuple(members), zone)
+    found = directory.addresses_for_zone(tuple(members), zone)
     return {address for address in found if not address.startswith(zone)}
 
 
--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -221,7 +221,7 @@
             for key in list(load.own):
                 load.remove(key)
         before = len(context.gossip.transport.to)
-        context.gossip.full_at = -1e9
+        context.gossip.last_full_at = -1e9
         context.gossip.refresh()
         context.sent.append(len(context.gossip.transport.to) > before)
 
--- a/features/steps/promises_steps.py
+++ b/features/steps/promises_steps.py
@@ -96,7 +96,7 @@
         watch.choice.learn_seeds(("127.0.0.1:1",))
         watch.channels = SlowLeader(delay)
         bed.prove(age_s=60.0)
-        assert await watch.ask()
+        assert await watch.poll()
         context.age_s = bed.gateway.view.age_s(clocks.boot_time())
 
     gateway_steps.play(context, story)
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -18,10 +18,10 @@
 from _coltsfootroad.core import sends
 from _coltsfootroad.core import work as work_lib
 from _coltsfootroad.core import workload
-from _coltsfootroad.gateway import answers
 from _coltsfootroad.gateway import engines
 from _coltsfootroad.gateway import health
-from _coltsfootroad.gateway import tickets
+from _coltsfootroad.gateway import memoryreservation
+from _coltsfootroad.gateway import responses
 from _coltsfootroad.gateway import upstream
 
 NAME = "e"
@@ -234,11 +234,13 @@
 
 def note_late(scene, status: int, end: upstream.CallEnd) -> None:
     """Tell the endpoint set how a send to the earlier start ended."""
-    sink = answers.HeldAnswer(None, "r")
+    sink = responses.BufferedResponse(None, "r")
     sink.status = status
     sink.genuine = status > 0
     choice = engines.Choice(endpoint=scene.earlier)
-    health.note(scene.endpoints, choice, sends.Outcome.LOST, end, sink, 3.2)
+    health.update_endpoints(
+        scene.endpoints, choice, sends.Outcome.LOST, end, sink, 3.2
+    )
 
 
 @then("the failure that is late of the earlier start counts no more")
@@ -250,7 +252,7 @@
 @then("the misdirection that is late of the earlier start counts no more")
 def no_burial(context):
     end = upstream.CallEnd.COMPLETE
-    note_late(context.scene, answers.MISDIRECTED, end)
+    note_late(context.scene, responses.MISDIRECTED, end)
     assert context.scene.endpoints.of_service(SERVICE)
 
 
@@ -264,6 +266,8 @@
 @then("the memory of the earlier start counts no more")
 def no_memory(context):
     gateway = NoGateway(context.scene.endpoints)
-    share = tickets.Share(endpoint=context.scene.earlier, tokens=1_000)
-    held = tickets.TicketSet(gateway, "r", "t", (share,))
+    share = memoryreservation.MemoryShare(
+        endpoint=context.scene.earlier, tokens=1_000
+    )
+    held = memoryreservation.MemoryReservation(gateway, "r", "t", (share,))
     assert asyncio.run(held.order(share, None)) == 0
--- a/features/support/crashworld.py
+++ b/features/support/crashworld.py
@@ -255,15 +255,15 @@
         engine.up = True
         self.announce_engine(engine)
 
-    async def probe(self, address: str) -> endpointprobe.Listener:
+    async def probe(self, address: str) -> endpointprobe.ListenerState:
         """Answer a connection attempt as the engine's VM does."""
         await asyncio.sleep(2 * relayworld.TRAVEL_S)
         engine = self.engines[address]
         if engine.dark:
-            return endpointprobe.Listener.SILENT
+            return endpointprobe.ListenerState.SILENT
         if engine.up:
-            return endpointprobe.Listener.OPEN
-        return endpointprobe.Listener.CLOSED
+            return endpointprobe.ListenerState.OPEN
+        return endpointprobe.ListenerState.CLOSED
 
     # --- callers -----------------------------------------------------------
 
--- a/src/_coltsfootroad/gateway/admission.py
+++ b/src/_coltsfootroad/gateway/admission.py
@@ -13,17 +13,17 @@
 
 MS = 1000
 # Time in which an answer still travels to the caller.
-RETURN_MARGIN_S = 0.03
+RESPONSE_TRANSIT_S = 0.03
 DEFAULT_DEADLINE_S = 30.0
 # A gateway without routes has just started, often with all others: replicas
 # elect a leader within 1.2 s of their start and gateways hear of it at once.
 # Callers retry once, so coming back too early loses the request.
-NO_ROUTES_RETRY_S = 2.0
+NO_ROUTES_RETRY_AFTER_S = 2.0
 # A gateway that lost the leader: an election takes 1.2 s at most.
-FENCED_RETRY_S = 1.2
+FENCED_RETRY_AFTER_S = 1.2
 # A caller that states less than the route's timeout by more than this has
 # spent the rest already; what travels takes a few milliseconds.
-RETURNED_S = 0.1
+RETRIED_CALL_MARGIN_S = 0.1
 
 
 @attrs.define
@@ -42,7 +42,7 @@
     body: bytes
     arrived_at: float
 
-    def stated_s(self, names: names_lib.HeaderNames) -> float:
+    def stated_timeout_s(self, names: names_lib.HeaderNames) -> float:
         """Return for how long the caller says that it will wait."""
         text = self.headers.get(names.deadline_ms, "")
         return int(text) / MS if text.isdigit() else DEFAULT_DEADLINE_S
@@ -95,26 +95,26 @@
                 refusal(
                     errors.ErrorCode.UNAVAILABLE,
                     "no routes are known yet",
-                    NO_ROUTES_RETRY_S,
+                    NO_ROUTES_RETRY_AFTER_S,
                 )
             )
         )
     host = request.headers.get("Host", "").partition(":")[0]
     path = request.start.path.partition("?")[0]
     route = table.match(host, path)
-    fault = gateway_fault(gateway, now)
-    if fault is not None:
+    failure = gateway_refusal(gateway, now)
+    if failure is not None:
         # Outdated routes give no definite answer: an unknown host or key may
         # be known by now.
-        return Error(Refused(fault, route.name if route else ""))
+        return Error(Refused(failure, route.name if route else ""))
     if route is None:
         text = f"no route for host {host!r} and path {path!r}"
         return Error(Refused(refusal(errors.ErrorCode.NOT_FOUND, text)))
     names = gateway.dialect.names
-    workspace = holder(table, route, request.headers.get(names.key, ""))
+    workspace = find_workspace(table, route, request.headers.get(names.key, ""))
     if workspace is None:
-        fault = refusal(errors.ErrorCode.UNAUTHORIZED, "the key is not known")
-        return Error(Refused(fault, route.name))
+        failure = refusal(errors.ErrorCode.UNAUTHORIZED, "the key is not known")
+        return Error(Refused(failure, route.name))
     service = table.services[routes.choose_service(route, request_id)]
     return Ok(admitted(request, names, route, service, workspace))
 
@@ -127,43 +127,43 @@
     workspace: str,
 ) -> Admitted:
     """Return what a request may do on its route, by what its headers say."""
-    stated_s = request.stated_s(names)
+    stated_timeout_s = request.stated_timeout_s(names)
     return Admitted(
         route=route,
         service=service,
         workspace=workspace,
         # The earlier of the caller's deadline and the route's.
         deadline=request.arrived_at
-        + min(stated_s - RETURN_MARGIN_S, route.timeout_s),
-        prompt=prompt_of(request.headers.get(names.tokens, ""), route),
-        returned=stated_s < route.timeout_s - RETURNED_S,
+        + min(stated_timeout_s - RESPONSE_TRANSIT_S, route.timeout_s),
+        prompt=parse_prompt(request.headers.get(names.tokens, ""), route),
+        returned=stated_timeout_s < route.timeout_s - RETRIED_CALL_MARGIN_S,
     )
 
 
-def holder(
+def find_workspace(
     table: routes.RouteTable, route: routes.Route, key: str
 ) -> str | None:
     """Return the workspace of a key, empty if none is needed, else None."""
     return table.workspace(key) if table.needs_key(route) else ""
 
 
-def gateway_fault(gateway, now: float) -> errors.Failure | None:
+def gateway_refusal(gateway, now: float) -> errors.Failure | None:
     """Return why the gateway itself admits nothing now, or None."""
     view = gateway.view
     if not view.is_current(now):
         return refusal(
             errors.ErrorCode.ENTRY_FENCED,
             f"routes were proved current {view.age_s(now):.1f} s ago",
-            FENCED_RETRY_S,
+            FENCED_RETRY_AFTER_S,
         )
-    if gateway.refuses_new(now):
+    if gateway.refuses_new_requests(now):
         return refusal(
             errors.ErrorCode.ENTRY_DRAINING, "this gateway stops", 0.0
         )
     return None
 
 
-def prompt_of(text: str, route: routes.Route) -> spread.Prompt | None:
+def parse_prompt(text: str, route: routes.Route) -> spread.Prompt | None:
     """Return the prompt that a header tells of, None if it tells of none."""
     prompt, _, output = text.partition(",")
     if not (prompt.strip().isdigit() and output.strip().isdigit()):
--- a/src/_coltsfootroad/gateway/contentguard.py
+++ b/src/_coltsfootroad/gateway/contentguard.py
@@ -27,7 +27,7 @@
     """
 
     exchange: object
-    known: fingerprints.Fingerprint | None = None
+    cached_fingerprint: fingerprints.Fingerprint | None = None
     on_trial: bool = False
     stopped: bool = False
     send_timeout: asyncio.Timeout | None = None
@@ -40,16 +40,16 @@
 
     def fingerprint(self) -> fingerprints.Fingerprint:
         """Return the fingerprint of the request, computed once."""
-        if self.known is None:
+        if self.cached_fingerprint is None:
             request = self.exchange.request
-            self.known = fingerprints.compute(
+            self.cached_fingerprint = fingerprints.compute(
                 request.start.method,
                 request.headers.get("Host", ""),
                 request.start.path,
                 self.exchange.admitted.workspace,
                 request.body,
             )
-        return self.known
+        return self.cached_fingerprint
 
     def entry(self) -> quarantine.Entry | None:
         """Return the entry that forbids the request, None if it may run."""
@@ -64,15 +64,17 @@
         if entry is None:
             return False
         exchange = self.exchange
-        keeper = exchange.gateway.quarantine
-        if not exchange.sends.count and await keeper.start_trial(entry):
+        gateway_quarantine = exchange.gateway.quarantine
+        if not exchange.sends.count and await gateway_quarantine.start_trial(
+            entry
+        ):
             self.on_trial = True
             return False
         if exchange.reply.streaming:
-            exchange.reply.break_off("the request is in quarantine")
+            exchange.reply.abort_stream("the request is in quarantine")
         else:
             has_run = exchange.sends.runs > 0
-            exchange.refuse(keeper.refusal(entry, has_run))
+            exchange.refuse(gateway_quarantine.refusal(entry, has_run))
         return True
 
     def stop_if_quarantined(self) -> None:
@@ -91,7 +93,7 @@
         isolates = reporter.isolation.isolates(fingerprint)
         return fingerprint if isolates else None
 
-    def note_answered(self) -> None:
+    def on_answered(self) -> None:
         """Note that an endpoint has run the request and lives."""
         gateway = self.exchange.gateway
         if self.on_trial:
@@ -99,7 +101,7 @@
         if gateway.crash_reporter.may_suspect(*self.size):
             gateway.crash_reporter.clear(self.fingerprint())
 
-    def note_stopped(
+    def on_stopped(
         self,
         endpoint: endpointset.KnownEndpoint,
         sent_at: float,
@@ -111,13 +113,13 @@
         )
         self.exchange.gateway.crash_reporter.report_stopped(
             crashes.Crash(
-                endpoint=crashdetector.key_of(endpoint),
+                endpoint=crashdetector.endpoint_key(endpoint),
                 at=now,
                 suspects=(suspect,),
             )
         )
 
-    def note_lost(
+    def on_lost(
         self,
         endpoint: endpointset.KnownEndpoint,
         sent_at: float,
--- a/src/_coltsfootroad/gateway/crashdetector.py
+++ b/src/_coltsfootroad/gateway/crashdetector.py
@@ -45,7 +45,7 @@
         self, endpoint: endpointset.KnownEndpoint, suspect: crashes.Suspect
     ) -> None:
         """Take a send whose connection broke before the answer was whole."""
-        key = key_of(endpoint)
+        key = endpoint_key(endpoint)
         if key in self.crashed:
             LOG.info(
                 "another send lost in a crash",
@@ -59,9 +59,9 @@
             self.suspects[key].append(suspect)
         else:
             self.suspects[key] = [suspect]
-            self.spawn(self.examine(key, endpoint, clocks.boot_time()))
+            self.spawn(self.probe_endpoint(key, endpoint, clocks.boot_time()))
 
-    async def examine(
+    async def probe_endpoint(
         self,
         key: crashes.EndpointKey,
         endpoint: endpointset.KnownEndpoint,
@@ -70,7 +70,7 @@
         """Probe an endpoint and report a crash if it has ended."""
         await asyncio.sleep(PROBE_DELAY_S)
         listener = await endpointprobe.probe(endpoint.announcement.address)
-        found = self.suspects.pop(key)
+        lost_sends = self.suspects.pop(key)
         has_crashed = self.has_crashed(endpoint, listener)
         LOG.info(
             "endpoint crashed" if has_crashed else "endpoint broke off",
@@ -78,16 +78,16 @@
             incarnation=key.incarnation,
             listener=listener.value,
             state=endpoint.announcement.state.value,
-            suspects=[suspect.fingerprint.text for suspect in found],
+            suspects=[suspect.fingerprint.text for suspect in lost_sends],
         )
         if has_crashed:
-            self.remember(key, lost_at)
-            self.report(key, found)
+            self.record_crash(key, lost_at)
+            self.report(key, lost_sends)
 
     def has_crashed(
         self,
         endpoint: endpointset.KnownEndpoint,
-        listener: endpointprobe.Listener,
+        listener: endpointprobe.ListenerState,
     ) -> bool:
         """Return whether an endpoint ended without having said so.
 
@@ -100,26 +100,26 @@
             return True
         if not self.endpoints.is_current(endpoint):
             return False
-        return listener is endpointprobe.Listener.CLOSED
+        return listener is endpointprobe.ListenerState.CLOSED
 
-    def remember(self, key: crashes.EndpointKey, lost_at: float) -> None:
+    def record_crash(self, key: crashes.EndpointKey, lost_at: float) -> None:
         """Keep a crash, within a bound."""
         self.crashed[key] = lost_at
         while len(self.crashed) > MAX_CRASHED:
             del self.crashed[next(iter(self.crashed))]
 
     def report(
-        self, key: crashes.EndpointKey, found: list[crashes.Suspect]
+        self, key: crashes.EndpointKey, lost_sends: list[crashes.Suspect]
     ) -> None:
         """Report a crash with requests that were in flight at it."""
         self.on_crash(
             crashes.Crash(
-                endpoint=key, at=self.crashed[key], suspects=tuple(found)
+                endpoint=key, at=self.crashed[key], suspects=tuple(lost_sends)
             )
         )
 
 
-def key_of(endpoint: endpointset.KnownEndpoint) -> crashes.EndpointKey:
+def endpoint_key(endpoint: endpointset.KnownEndpoint) -> crashes.EndpointKey:
     """Return what names the present start of an endpoint."""
     return crashes.EndpointKey(
         endpoint=endpoint.name, incarnation=endpoint.announcement.incarnation
--- a/src/_coltsfootroad/gateway/crashreporter.py
+++ b/src/_coltsfootroad/gateway/crashreporter.py
@@ -43,7 +43,7 @@
     gateway: str
     link: leaderlink.LeaderLink
     isolation: isolation_lib.Isolation
-    kept: dict[crashes.EndpointKey, crashes.Crash] = attrs.Factory(dict)
+    recent: dict[crashes.EndpointKey, crashes.Crash] = attrs.Factory(dict)
     unsent: dict[crashes.EndpointKey, None] = attrs.Factory(dict)
     cleared: dict[fingerprints.Fingerprint, None] = attrs.Factory(dict)
     stopped: list[crashes.Crash] = attrs.Factory(list)
@@ -53,37 +53,37 @@
 
     def report(self, crash: crashes.Crash) -> None:
         """Report a crash, or further suspects of one."""
-        known = self.kept.pop(crash.endpoint, None)
+        known = self.recent.pop(crash.endpoint, None)
         if known is not None:
             suspects = known.suspects + crash.suspects
-            kept = suspects[-crashrecord.MAX_SUSPECTS :]
-            crash = attrs.evolve(crash, suspects=kept)
-        self.kept[crash.endpoint] = crash
+            recent = suspects[-crashrecord.MAX_SUSPECTS :]
+            crash = attrs.evolve(crash, suspects=recent)
+        self.recent[crash.endpoint] = crash
         self.unsent[crash.endpoint] = None
-        while len(self.kept) > MAX_KEPT:
-            dropped = next(iter(self.kept))
-            del self.kept[dropped]
+        while len(self.recent) > MAX_KEPT:
+            dropped = next(iter(self.recent))
+            del self.recent[dropped]
             self.unsent.pop(dropped, None)
         self.count_sizes()
-        self.start()
+        self.start_sending()
 
     def report_stopped(self, stop: crashes.Crash) -> None:
         """Report a send that the quarantine stopped at an endpoint."""
         self.stopped.append(stop)
         del self.stopped[:-MAX_KEPT]
-        self.start()
+        self.start_sending()
 
     def report_again(self) -> None:
         """Report everything to a leader that may know nothing of it."""
         oldest = clocks.boot_time() - crashrecord.WINDOW_S
-        self.kept = {
+        self.recent = {
             endpoint: crash
-            for endpoint, crash in self.kept.items()
+            for endpoint, crash in self.recent.items()
             if crash.at >= oldest
         }
         self.count_sizes()
-        self.unsent = dict.fromkeys(self.kept)
-        self.start()
+        self.unsent = dict.fromkeys(self.recent)
+        self.start_sending()
 
     def watch(self, changes: watching.Changes) -> None:
         """Take changes of the suspects that all gateways watch for."""
@@ -114,12 +114,12 @@
         if self.forget(fingerprint) or is_watched:
             LOG.info("suspect cleared", fingerprint=fingerprint.text)
             self.cleared[fingerprint] = None
-            self.start()
+            self.start_sending()
 
     def forget(self, fingerprint: fingerprints.Fingerprint) -> bool:
         """Drop a suspect from what is kept; return whether it was there."""
         found = False
-        for endpoint, crash in list(self.kept.items()):
+        for endpoint, crash in list(self.recent.items()):
             left = tuple(
                 suspect
                 for suspect in crash.suspects
@@ -127,7 +127,7 @@
             )
             if len(left) != len(crash.suspects):
                 found = True
-                self.kept[endpoint] = attrs.evolve(crash, suspects=left)
+                self.recent[endpoint] = attrs.evolve(crash, suspects=left)
         self.count_sizes()
         return found
 
@@ -135,14 +135,14 @@
         """Count the suspects by size again."""
         self.sizes = collections.Counter(
             quarantine.size_of(suspect.fingerprint)
-            for crash in self.kept.values()
+            for crash in self.recent.values()
             for suspect in crash.suspects
         )
         self.sizes.update(map(quarantine.size_of, self.watched))
 
     # --- sending -----------------------------------------------------------
 
-    def start(self) -> None:
+    def start_sending(self) -> None:
         """Begin to send unless that is under way or nothing is unsent."""
         idle = self.sending is None or self.sending.done()
         if idle and self.has_unsent:
@@ -162,7 +162,7 @@
     async def send_once(self) -> bool:
         """Send what is unsent; return whether the leader has taken it."""
         now = clocks.boot_time()
-        sent = {endpoint: self.kept[endpoint] for endpoint in self.unsent}
+        sent = {endpoint: self.recent[endpoint] for endpoint in self.unsent}
         cleared = tuple(self.cleared)
         stopped = tuple(self.stopped)
         answer = await self.link.call(
@@ -178,21 +178,21 @@
                 ),
             )
         )
-        taken = isinstance(answer, outcomes.Done)
+        accepted = isinstance(answer, outcomes.Done)
         LOG.info(
-            "crashes reported" if taken else "crashes not reported",
+            "crashes reported" if accepted else "crashes not reported",
             endpoints=[endpoint.endpoint for endpoint in sent],
             suspects=sum(len(crash.suspects) for crash in sent.values()),
             cleared=len(cleared),
             stopped=len(stopped),
             took_s=round(clocks.boot_time() - now, 3),
         )
-        if taken:
-            self.settle(sent, cleared)
+        if accepted:
+            self.discard_reported(sent, cleared)
             self.stopped = [s for s in self.stopped if s not in stopped]
-        return taken
+        return accepted
 
-    def settle(
+    def discard_reported(
         self,
         sent: dict[crashes.EndpointKey, crashes.Crash],
         cleared: tuple[fingerprints.Fingerprint, ...],
@@ -201,7 +201,7 @@
         for fingerprint in cleared:
             self.cleared.pop(fingerprint, None)
         for endpoint, crash in sent.items():
-            if self.kept.get(endpoint) is crash:
+            if self.recent.get(endpoint) is crash:
                 self.unsent.pop(endpoint, None)
 
     def stop(self) -> None:
--- a/src/_coltsfootroad/gateway/dialect.py
+++ b/src/_coltsfootroad/gateway/dialect.py
@@ -12,7 +12,7 @@
 MS = 1000
 
 
-class MemoryOrders(abc.ABC):
+class MemoryRequests(abc.ABC):
     """Makes the calls that set an engine's memory aside and free it."""
 
     @abc.abstractmethod
@@ -26,7 +26,7 @@
         """Return the order to free what a ticket holds."""
 
 
-class PlainMemoryOrders(MemoryOrders):
+class DefaultMemoryRequests(MemoryRequests):
     """The product's own orders, which its stand-in engines take."""
 
     def reserve(self, ticket, tokens, hold_s):
@@ -44,7 +44,7 @@
     """What differs between platforms in the calls of a gateway."""
 
     names: names_lib.HeaderNames = names_lib.HeaderNames()
-    memory: MemoryOrders = attrs.Factory(PlainMemoryOrders)
+    memory: MemoryRequests = attrs.Factory(DefaultMemoryRequests)
 
 
 def json_request(
--- a/src/_coltsfootroad/gateway/directory.py
+++ b/src/_coltsfootroad/gateway/directory.py
@@ -11,19 +11,21 @@
 # zones, and where these are fewer than this, some of other zones as well. A
 # gateway that is lost or frozen costs its callers a second for each connection
 # until their answer is renewed: with two gateways, half of a zone.
-ENOUGH_NEAR = 4
+MIN_ADDRESSES = 4
 SPREAD_KEY = "directory"
 MAX_ADDRESSES = 64
 MAX_QUERY_BODY = 1024
 
 
-def answer(members: tuple[addresses.Member, ...], zone: str) -> tuple[str, ...]:
+def addresses_for_zone(
+    members: tuple[addresses.Member, ...], zone: str
+) -> tuple[str, ...]:
     """Return the gateways for callers of a zone out of those in use."""
-    near = [m for m in members if m.availability_zone == zone]
-    far = [m for m in members if m.availability_zone != zone]
+    local = [m for m in members if m.availability_zone == zone]
+    remote = [m for m in members if m.availability_zone != zone]
     # Zones that need others choose different ones.
-    far.sort(key=lambda m: hashing.stable_hash(m.entry, SPREAD_KEY + zone))
-    chosen = near + far[: max(0, ENOUGH_NEAR - len(near))]
+    remote.sort(key=lambda m: hashing.stable_hash(m.entry, SPREAD_KEY + zone))
+    chosen = local + remote[: max(0, MIN_ADDRESSES - len(local))]
     return tuple(member.address for member in chosen[:MAX_ADDRESSES])
 
 
@@ -36,7 +38,7 @@
 
     def get(self):
         """Answer with addresses and how long they may be kept."""
-        found = answer(
+        found = addresses_for_zone(
             self.gateway.view.rotation.current(),
             self.get_query_argument("zone", ""),
         )
--- a/src/_coltsfootroad/gateway/endpointprobe.py
+++ b/src/_coltsfootroad/gateway/endpointprobe.py
@@ -11,7 +11,7 @@
 PROBE_TIMEOUT_S = 0.4
 
 
-class Listener(enum.Enum):
+class ListenerState(enum.Enum):
     """What a connection attempt shows of an endpoint's process."""
 
     OPEN = "open"
@@ -20,7 +20,7 @@
     SILENT = "silent"
 
 
-async def probe(address: str) -> Listener:
+async def probe(address: str) -> ListenerState:
     """Connect to an endpoint and close the connection at once."""
     loop = asyncio.get_running_loop()
     raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -31,9 +31,9 @@
             PROBE_TIMEOUT_S,
         )
     except (ConnectionRefusedError, ConnectionResetError):
-        return Listener.CLOSED
+        return ListenerState.CLOSED
     except (OSError, TimeoutError):
-        return Listener.SILENT
+        return ListenerState.SILENT
     finally:
         raw.close()
-    return Listener.OPEN
+    return ListenerState.OPEN
--- a/src/_coltsfootroad/gateway/engines.py
+++ b/src/_coltsfootroad/gateway/engines.py
@@ -13,7 +13,7 @@
 from _coltsfootroad.core import routes
 from _coltsfootroad.core import spread
 from _coltsfootroad.core import workload
-from _coltsfootroad.gateway import tickets
+from _coltsfootroad.gateway import memoryreservation
 
 
 @attrs.frozen(kw_only=True)
@@ -22,7 +22,7 @@
 
     endpoint: endpointset.KnownEndpoint
     helpers: tuple[endpointset.KnownEndpoint, ...] = ()
-    shares: tuple[tickets.Share, ...] = ()
+    shares: tuple[memoryreservation.MemoryShare, ...] = ()
     predicted_s: float = 0.0
     cost: float = 0.0
     load: int = 0
@@ -68,7 +68,7 @@
             return None
         if spec.engine is None or prompt is None:
             return self.least_loaded(drawn)
-        return self.placed(spec, prompt, drawn, now)
+        return self.place_prompt(spec, prompt, drawn, now)
 
     def least_loaded(self, drawn: list[endpointset.KnownEndpoint]) -> Choice:
         """Return the endpoint with the least work; the first of equal ones."""
@@ -76,7 +76,7 @@
         least = min(loads)
         return Choice(endpoint=drawn[loads.index(least)], load=least)
 
-    def placed(
+    def place_prompt(
         self,
         spec: routes.ServiceSpec,
         prompt: spread.Prompt,
@@ -104,7 +104,9 @@
             endpoint=lead,
             helpers=tuple(by_name[name] for name in placement.helpers),
             shares=tuple(
-                tickets.Share(endpoint=by_name[name], tokens=tokens)
+                memoryreservation.MemoryShare(
+                    endpoint=by_name[name], tokens=tokens
+                )
                 for name, tokens in placement.tickets
             ),
             predicted_s=placement.first_event_s,
@@ -122,7 +124,7 @@
             if self.endpoints.serves(name, service)
         )
 
-    def reading_s(
+    def remaining_prefill_s(
         self,
         known: endpointset.KnownEndpoint,
         engine: routes.EngineSpec,
--- a/src/_coltsfootroad/gateway/exchange.py
+++ b/src/_coltsfootroad/gateway/exchange.py
@@ -12,17 +12,17 @@
 from _coltsfootroad.core import startshare
 from _coltsfootroad.core import urgency
 from _coltsfootroad.gateway import admission
-from _coltsfootroad.gateway import answers
 from _coltsfootroad.gateway import contentguard
 from _coltsfootroad.gateway import engines
 from _coltsfootroad.gateway import forwarding
 from _coltsfootroad.gateway import health
+from _coltsfootroad.gateway import memoryreservation
 from _coltsfootroad.gateway import names as names_lib
 from _coltsfootroad.gateway import ownwork
 from _coltsfootroad.gateway import reply as reply_lib
+from _coltsfootroad.gateway import responses
 from _coltsfootroad.gateway import sendbudget
 from _coltsfootroad.gateway import startup
-from _coltsfootroad.gateway import tickets as tickets_lib
 from _coltsfootroad.gateway import upstream
 from _coltsfootroad.gateway import watchdog as watchdog_lib
 from _coltsfootroad.shell import clocks
@@ -30,14 +30,14 @@
 
 LOG = logs.logger("request")
 # A send with less time than this cannot come back in time.
-MIN_SEND_S = 0.02
-SERVER_FAULT = 500
+MIN_REMAINING_TO_SEND_S = 0.02
+MIN_SERVER_ERROR_STATUS = 500
 # No endpoint could be reached: one that restarts announces itself within a
 # second, and callers come back only once.
-RETRY_AFTER_S = 0.2
+NO_ENDPOINT_RETRY_AFTER_S = 0.2
 # Pause before memory is asked for again, drawn so that two long prompts
 # that met at the same engines do not meet again.
-MEMORY_PAUSE_S = (0.05, 0.2)
+MEMORY_RETRY_PAUSE_S = (0.05, 0.2)
 
 
 @attrs.define(eq=False)
@@ -56,8 +56,8 @@
     request_id: str = ""
     admitted: admission.Admitted | None = None
     sends: sends_lib.Sends | None = None
-    fault: answers.HeldAnswer | None = None
-    tickets: tickets_lib.TicketSet | None = None
+    error_response: responses.BufferedResponse | None = None
+    reservation: memoryreservation.MemoryReservation | None = None
     guard: contentguard.ContentGuard = attrs.field(init=False)
     budget: sendbudget.SendBudget = attrs.field(init=False)
     work: ownwork.OwnWork = attrs.field(init=False)
@@ -74,13 +74,13 @@
             self.connection,
             self.request_id,
             self.request.arrived_at,
-            self.note_event,
+            self.record_event,
         )
 
     @property
     def ticket(self) -> str:
         """Return the ticket of the present send, empty if it has none."""
-        return self.tickets.ticket if self.tickets is not None else ""
+        return self.reservation.ticket if self.reservation is not None else ""
 
     @property
     def names(self) -> names_lib.HeaderNames:
@@ -111,21 +111,24 @@
         """Serve the request until its final answer."""
         start_up = self.gateway.start_up
         arrived_at = self.request.arrived_at
-        stated_s = self.request.stated_s(self.names)
-        await start_up.wait(arrived_at, stated_s, start_up.knows_routes)
+        stated_timeout_s = self.request.stated_timeout_s(self.names)
+        await start_up.wait(arrived_at, stated_timeout_s, start_up.knows_routes)
         now = clocks.boot_time()
-        found = admission.admit(
+        result = admission.admit(
             self.gateway, self.request, self.request_id, now
         )
-        if found.is_error():
-            self.reply.refuse(found.error.failure, found.error.route)
+        if result.is_error():
+            self.reply.refuse(result.error.failure, result.error.route)
             return
-        self.admitted = found.ok
+        self.admitted = result.ok
         self.sends = sends_lib.Sends(
             attempts=self.route.attempts, idempotent=self.route.idempotent
         )
         await start_up.wait(
-            arrived_at, stated_s, self.has_room, startup.CHOOSE_EVERY_S
+            arrived_at,
+            stated_timeout_s,
+            self.has_room,
+            startup.CHOICE_POLL_INTERVAL_S,
         )
         self.gateway.budget(self.service.name).on_request(now)
         left_s = self.deadline - clocks.boot_time()
@@ -143,7 +146,7 @@
 
         What has been waited already does not count: more of it helps nobody.
         """
-        if not self.gateway.start_up.knows_some():
+        if not self.gateway.start_up.knows_first_endpoints():
             return False
         choice = self.choose(clocks.boot_time())
         if choice is None:
@@ -165,14 +168,16 @@
             if await self.guard.refuse():
                 return
             now = clocks.boot_time()
-            reason = self.unfit_reason(now)
+            reason = self.cannot_send_reason(now)
             choice = None if reason else self.choose(now)
             if choice is None:
-                self.give_up(reason or "no endpoint serves the request now")
+                self.send_final_failure(
+                    reason or "no endpoint serves the request now"
+                )
                 return
-            again_s = self.come_back_s(choice)
-            if again_s is not None:
-                self.turn_away(choice, again_s)
+            retry_after_s = self.shed_retry_after_s(choice)
+            if retry_after_s is not None:
+                self.shed(choice, retry_after_s)
                 return
             outcome = await self.attempt(choice)
             if outcome is sends_lib.Outcome.ANSWERED:
@@ -182,10 +187,12 @@
             self.guard.stopped = False
             if outcome is sends_lib.Outcome.NO_MEMORY:
                 self.sends.tried.clear()
-                await asyncio.sleep(self.gateway.rng.uniform(*MEMORY_PAUSE_S))
+                await asyncio.sleep(
+                    self.gateway.rng.uniform(*MEMORY_RETRY_PAUSE_S)
+                )
             reason = self.stop_reason(outcome)
             if reason:
-                self.give_up(reason)
+                self.send_final_failure(reason)
                 return
 
     def rank(self, choice: engines.Choice, now: float) -> int:
@@ -193,7 +200,7 @@
         waited_s = now - self.request.arrived_at
         return urgency.of(self.route, waited_s, choice.predicted_s)
 
-    def come_back_s(self, choice: engines.Choice) -> float | None:
+    def shed_retry_after_s(self, choice: engines.Choice) -> float | None:
         """Return when to come back if the request is not to be sent now."""
         prompt = self.admitted.prompt
         if prompt is None or self.sends.count:
@@ -218,20 +225,20 @@
             self.guard.isolated_as(),
         )
 
-    def unfit_reason(self, now: float) -> str:
+    def cannot_send_reason(self, now: float) -> str:
         """Return why nothing may be sent now, empty if something may."""
         view = self.gateway.view
         if not view.is_current(now):
             return f"routes were proved current {view.age_s(now):.1f} s ago"
-        if self.deadline - now < MIN_SEND_S:
+        if self.deadline - now < MIN_REMAINING_TO_SEND_S:
             return f"{self.deadline - now:.3f} s are left, too few to send"
         return ""
 
-    async def call_with_patience(
+    async def call_with_silence_timeout(
         self,
         choice: engines.Choice,
         pool: upstream.EndpointPool,
-        sink: answers.HeldAnswer,
+        sink: responses.BufferedResponse,
     ) -> upstream.CallEnd:
         """Send, and turn to another endpoint while the caller still waits.
 
@@ -257,7 +264,7 @@
             self.guard.send_timeout = None
             watchdog.stop()
 
-    def may_switch(self) -> bool:
+    def reserve_switch(self) -> bool:
         """Return whether another endpoint takes over from a silent one.
 
         The retry is reserved at once: a send that is given up without one
@@ -266,11 +273,11 @@
         if self.guard.on_trial or not self.sends.may_switch():
             return False
         now = clocks.boot_time()
-        if self.unfit_reason(now) or not self.has_untried(now):
+        if self.cannot_send_reason(now) or not self.has_untried_endpoint(now):
             return False
         return self.budget.reserve(now)
 
-    def has_untried(self, now: float) -> bool:
+    def has_untried_endpoint(self, now: float) -> bool:
         """Return whether an endpoint is left that it was not sent to."""
         choice = self.choose(now)
         return (
@@ -279,22 +286,22 @@
 
     async def reserve(self, choice: engines.Choice) -> bool:
         """Set memory aside for a prompt above one engine's memory."""
-        self.tickets = tickets_lib.TicketSet(
+        self.reservation = memoryreservation.MemoryReservation(
             self.gateway,
             self.request_id,
             self.gateway.next_ticket(),
             choice.shares,
         )
-        granted = await self.tickets.reserve()
+        granted = await self.reservation.reserve()
         if not granted:
-            self.tickets = None
+            self.reservation = None
         return granted
 
-    def free_tickets(self) -> None:
+    def release_reservation(self) -> None:
         """Free the memory that was set aside, without waiting for it."""
-        if self.tickets is not None:
-            self.gateway.spawn(self.tickets.release())
-            self.tickets = None
+        if self.reservation is not None:
+            self.gateway.spawn(self.reservation.release())
+            self.reservation = None
 
     def stop_reason(self, outcome: sends_lib.Outcome) -> str:
         """Return why nothing more is sent, empty to go on."""
@@ -303,7 +310,11 @@
             return "its trial has ended"
         if reason or outcome is sends_lib.Outcome.NO_MEMORY:
             return reason
-        return "" if self.budget.may_go_on() else "the retry budget is used up"
+        return (
+            ""
+            if self.budget.allows_another_send()
+            else "the retry budget is used up"
+        )
 
     async def attempt(self, choice: engines.Choice) -> sends_lib.Outcome:
         """Send to one endpoint and judge what came of it."""
@@ -333,12 +344,12 @@
             if self.guard.entry() is not None:
                 return sends_lib.Outcome.NOT_RUN
             self.sends.count += 1
-            end = await self.call_with_patience(choice, pool, sink)
+            end = await self.call_with_silence_timeout(choice, pool, sink)
         finally:
             self.work.end()
-            self.free_tickets()
-        outcome = self.judge(end, sink)
-        health.note(
+            self.release_reservation()
+        outcome = self.classify_outcome(end, sink)
+        health.update_endpoints(
             self.gateway.endpoints,
             choice,
             outcome,
@@ -361,51 +372,51 @@
         )
         if outcome is sends_lib.Outcome.ANSWERED:
             self.reply.complete(sink)
-            self.guard.note_answered()
+            self.guard.on_answered()
         elif end is upstream.CallEnd.LOST:
             has_output = bool(sink.parts) or self.reply.last_event_at > now
-            self.guard.note_lost(endpoint, now, has_output)
+            self.guard.on_lost(endpoint, now, has_output)
         elif end is upstream.CallEnd.STOPPED:
-            self.guard.note_stopped(endpoint, now, clocks.boot_time())
+            self.guard.on_stopped(endpoint, now, clocks.boot_time())
         return outcome
 
-    def make_sink(self) -> answers.HeldAnswer:
+    def make_sink(self) -> responses.BufferedResponse:
         """Return what takes the answer."""
         if self.route.kind is routes.RequestKind.STREAM:
-            return answers.StreamedAnswer(
+            return responses.StreamedResponse(
                 self.names, self.request_id, reply=self.reply
             )
-        return answers.HeldAnswer(self.names, self.request_id)
+        return responses.BufferedResponse(self.names, self.request_id)
 
-    def judge(
-        self, end: upstream.CallEnd, sink: answers.HeldAnswer
+    def classify_outcome(
+        self, end: upstream.CallEnd, sink: responses.BufferedResponse
     ) -> sends_lib.Outcome:
         """Return what a send came to."""
         if end is upstream.CallEnd.NOT_SENT:
             return sends_lib.Outcome.NOT_RUN
-        if sink.genuine and sink.says_not_run():
+        if sink.genuine and sink.proves_not_run():
             return sends_lib.Outcome.NOT_RUN
         self.sends.runs += 1
-        whole = end is upstream.CallEnd.COMPLETE and sink.ends_whole()
+        whole = end is upstream.CallEnd.COMPLETE and sink.is_body_complete()
         if not whole or not sink.genuine:
             return sends_lib.Outcome.LOST
-        if sink.status >= SERVER_FAULT and self.route.idempotent:
-            self.fault = sink
+        if sink.status >= MIN_SERVER_ERROR_STATUS and self.route.idempotent:
+            self.error_response = sink
             return sends_lib.Outcome.FAULT
         return sends_lib.Outcome.ANSWERED
 
-    def give_up(self, reason: str) -> None:
+    def send_final_failure(self, reason: str) -> None:
         """Send the final failure; "not run" only when it is proved."""
         if self.reply.streaming:
-            self.reply.break_off(reason)
-        elif self.fault is not None:
+            self.reply.abort_stream(reason)
+        elif self.error_response is not None:
             LOG.info(
                 "endpoint's failure passed on",
                 request=self.request_id,
-                status=self.fault.status,
+                status=self.error_response.status,
                 reason=reason,
             )
-            self.reply.complete(self.fault)
+            self.reply.complete(self.error_response)
         elif self.sends.runs:
             self.refuse(
                 errors.Failure(
@@ -417,11 +428,13 @@
         else:
             self.refuse(
                 admission.refusal(
-                    errors.ErrorCode.NO_ENDPOINT, reason, RETRY_AFTER_S
+                    errors.ErrorCode.NO_ENDPOINT,
+                    reason,
+                    NO_ENDPOINT_RETRY_AFTER_S,
                 )
             )
 
-    def turn_away(self, choice: engines.Choice, again_s: float) -> None:
+    def shed(self, choice: engines.Choice, retry_after_s: float) -> None:
         """Refuse what would only lengthen a queue, before it is sent."""
         self.refuse(
             admission.refusal(
@@ -429,7 +442,7 @@
                 f"{choice.late_waiting} late requests wait at"
                 f" {choice.places} places, the first event is predicted"
                 f" after {choice.predicted_s:.2f} s",
-                again_s,
+                retry_after_s,
             )
         )
 
@@ -437,16 +450,16 @@
         """Answer with a failure of our own."""
         self.reply.refuse(failure, self.route.name)
 
-    def note_event(self) -> None:
+    def record_event(self) -> None:
         """Note that an event came: reading is over, a pause has ended."""
         now = clocks.boot_time()
-        if self.work.note_event(now - self.reply.last_event_at):
-            self.gateway.note_first_event(now - self.request.arrived_at)
+        if self.work.record_event(now - self.reply.last_event_at):
+            self.gateway.record_first_event(now - self.request.arrived_at)
 
     def on_deadline(self) -> None:
         """Answer a request whose time is over."""
         if self.reply.streaming:
-            self.reply.break_off("the time is over")
+            self.reply.abort_stream("the time is over")
             return
         if not self.sends.count:
             self.refuse(
--- a/src/_coltsfootroad/gateway/front.py
+++ b/src/_coltsfootroad/gateway/front.py
@@ -25,7 +25,7 @@
 CLOSE_IDLE_AFTER_S = 0.05
 
 
-class MessageReader(httputil.HTTPMessageDelegate):
+class RequestReader(httputil.HTTPMessageDelegate):
     """Collects one request and hands it to an exchange."""
 
     def __init__(self, gateway, connection):
@@ -73,7 +73,7 @@
                 sends=exchange.sends.count if exchange.sends else 0,
                 after_s=round(clocks.boot_time() - self.arrived_at, 3),
             )
-            self.gateway.note_failure(errors.ErrorCode.CALLER_GONE.value)
+            self.gateway.record_failure(errors.ErrorCode.CALLER_GONE.value)
             self.connection.close()
             return
         fault = task.exception()
@@ -109,7 +109,7 @@
 
     def start_request(self, server_conn, request_conn):
         """Return what reads the next request of a connection."""
-        return MessageReader(self.gateway, request_conn)
+        return RequestReader(self.gateway, request_conn)
 
     def on_close(self, server_conn):
         """Take the end of a connection."""
--- a/src/_coltsfootroad/gateway/gossip.py
+++ b/src/_coltsfootroad/gateway/gossip.py
@@ -28,10 +28,10 @@
 # The end of work, its first event, and calls to plain services may be told
 # later: a choice that counts it for this long more is hardly a worse one, and
 # two datagrams in three are saved. A call that is over by then is not told.
-COALESCE_LATER_S = 0.025
+LAZY_COALESCE_S = 0.025
 # All work is sent this often, so that receivers can tell a quiet sender from
 # a dead one within `workload.BELIEF_S`.
-REFRESH_S = 0.8
+FULL_SUMMARY_INTERVAL_S = 0.8
 # Most changes of one datagram: 60 bytes each, 65,000 in all.
 MAX_CHANGES = 800
 # How datagrams are counted.
@@ -114,10 +114,10 @@
         self.transport = None
         self.seq = 0
         # Draws anew who passes on in other zones, with each full summary.
-        self.turn = 0
-        self.planned: asyncio.TimerHandle | None = None
-        self.full_at = 0.0
-        self.told_full = 0
+        self.fanout_round = 0
+        self.send_timer: asyncio.TimerHandle | None = None
+        self.last_full_at = 0.0
+        self.last_full_count = 0
         self.dropped = 0
 
     async def start(self, address: str) -> None:
@@ -151,31 +151,31 @@
         """Note that a datagram could not be delivered."""
         LOG.debug("datagram not delivered", fault=str(exc))
 
-    def plan(self, delay_s: float) -> None:
+    def schedule_send(self, delay_s: float) -> None:
         """Send soon; what changes until then goes along."""
         loop = asyncio.get_running_loop()
         due = loop.time() + delay_s
-        if self.planned is not None:
-            if self.planned.when() <= due:
+        if self.send_timer is not None:
+            if self.send_timer.when() <= due:
                 return
-            self.planned.cancel()
-        self.planned = loop.call_at(due, self.send)
+            self.send_timer.cancel()
+        self.send_timer = loop.call_at(due, self.send)
 
     def refresh(self) -> None:
         """Send everything if that was not done for a while."""
         now = clocks.boot_time()
-        if now - self.full_at < REFRESH_S:
+        if now - self.last_full_at < FULL_SUMMARY_INTERVAL_S:
             return
-        self.full_at = now
+        self.last_full_at = now
         count = len(self.gateway.load.own)
         # Having nothing is told once, in case the last end was lost.
-        if count or self.told_full:
+        if count or self.last_full_count:
             self.send_summary(full=True)
-        self.told_full = count
+        self.last_full_count = count
 
     def send(self) -> None:
         """Send what has changed."""
-        self.planned = None
+        self.send_timer = None
         if self.gateway.load.changed:
             self.send_summary(full=False)
 
@@ -197,12 +197,12 @@
                 changes=changes[:MAX_CHANGES],
             )
         )
-        self.turn += full
+        self.fanout_round += full
         copies = fanout.copies(
             self.receivers(),
             settings.gateway,
             settings.availability_zone,
-            self.turn,
+            self.fanout_round,
         )
         for pass_on in (False, True):
             to = [copy.to for copy in copies if copy.pass_on is pass_on]
--- a/src/_coltsfootroad/gateway/health.py
+++ b/src/_coltsfootroad/gateway/health.py
@@ -2,23 +2,23 @@
 
 from _coltsfootroad.core import endpointset
 from _coltsfootroad.core import sends
-from _coltsfootroad.gateway import answers
 from _coltsfootroad.gateway import engines
 from _coltsfootroad.gateway import names as names_lib
+from _coltsfootroad.gateway import responses
 from _coltsfootroad.gateway import upstream
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("request")
-SERVER_FAULT = 500
+MIN_SERVER_ERROR_STATUS = 500
 FAILURES = (sends.Outcome.LOST, sends.Outcome.NOT_RUN)
 
 
-def note(
+def update_endpoints(
     endpoints: endpointset.EndpointSet,
     choice: engines.Choice,
     outcome: sends.Outcome,
     end: upstream.CallEnd,
-    sink: answers.HeldAnswer,
+    sink: responses.BufferedResponse,
     now: float,
 ) -> None:
     """Note what a send says of the endpoints that took part."""
@@ -29,12 +29,12 @@
     if not endpoints.is_current(choice.endpoint):
         # What an earlier start did says nothing of the present one.
         return
-    misdirected = sink.genuine and sink.status == answers.MISDIRECTED
+    misdirected = sink.genuine and sink.status == responses.MISDIRECTED
     if misdirected and not choice.helpers:
         endpoints.bury(name, choice.endpoint.announcement.incarnation)
         LOG.info("endpoint is another now", endpoint=name)
     elif outcome in FAILURES:
-        for failed in blamed(choice, sink, sink.names):
+        for failed in failed_endpoints(choice, sink, sink.names):
             unreachable = end is upstream.CallEnd.NOT_SENT
             LOG.info(
                 "endpoint rests",
@@ -43,13 +43,16 @@
                 outcome=outcome.value,
                 end=end.value,
             )
-    elif outcome is sends.Outcome.ANSWERED and sink.status < SERVER_FAULT:
+    elif (
+        outcome is sends.Outcome.ANSWERED
+        and sink.status < MIN_SERVER_ERROR_STATUS
+    ):
         endpoints.on_success(name)
 
 
-def blamed(
+def failed_endpoints(
     choice: engines.Choice,
-    sink: answers.HeldAnswer,
+    sink: responses.BufferedResponse,
     names: names_lib.HeaderNames,
 ) -> list[str]:
     """Return the helper that the answer names as faulty, else the first."""
--- a/src/_coltsfootroad/gateway/leaderlink.py
+++ b/src/_coltsfootroad/gateway/leaderlink.py
@@ -6,7 +6,7 @@
 LOG = logs.logger("leader-link")
 # The process that the gateway watches, the leader that it names, and two more
 # for a leader that has just changed.
-MAX_HOPS = 4
+MAX_ATTEMPTS = 4
 CALL_TIMEOUT_S = 0.5
 
 
@@ -22,8 +22,8 @@
         watch = self.gateway.watch
         address = self.leader or watch.choice.current
         reason = "no process of control is known"
-        for _ in range(MAX_HOPS):
-            address = address or self.any_seed()
+        for _ in range(MAX_ATTEMPTS):
+            address = address or self.random_seed_address()
             if not address:
                 break
             answer = await watch.channels.call(address, message, CALL_TIMEOUT_S)
@@ -43,7 +43,7 @@
         )
         return None
 
-    def any_seed(self) -> str:
+    def random_seed_address(self) -> str:
         """Return one of the processes that may know the leader."""
         seeds = self.gateway.watch.choice.seeds
         return self.gateway.rng.choice(seeds) if seeds else ""
--- a/src/_coltsfootroad/gateway/tickets.py
+++ b/src/_coltsfootroad/gateway/memoryreservation.py
@@ -17,21 +17,21 @@
 LOG = logs.logger("tickets")
 # Engines count the lease from its arrival. Three seconds outlast two lost
 # renewals, and end before memory that nobody uses counts as lost.
-HOLD_S = 3.0
-RENEW_S = 1.0
-ORDER_TIMEOUT_S = 0.5
-GRANTED = 200
+LEASE_S = 3.0
+RENEW_INTERVAL_S = 1.0
+REQUEST_TIMEOUT_S = 0.5
+GRANTED_STATUS = 200
 
 
 @attrs.frozen(kw_only=True)
-class Share:
+class MemoryShare:
     """Tokens of a prompt that one engine is to hold."""
 
     endpoint: endpointset.KnownEndpoint
     tokens: int
 
 
-class StatusSink(upstream.AnswerSink):
+class StatusOnlySink(upstream.ResponseSink):
     """Keeps the status of an answer and nothing else."""
 
     def __init__(self):
@@ -47,18 +47,18 @@
 
 
 @attrs.define(eq=False)
-class TicketSet:
+class MemoryReservation:
     """The tickets of one send; a resend gets new ones."""
 
     gateway: object
     request_id: str
     ticket: str
-    shares: tuple[Share, ...]
+    shares: tuple[MemoryShare, ...]
     renewer: asyncio.Task | None = None
 
     async def reserve(self) -> bool:
         """Take all tickets; free those taken if one is refused."""
-        granted = await self.order_all()
+        granted = await self.request_all()
         LOG.info(
             "memory reserved" if granted else "memory not free",
             request=self.request_id,
@@ -72,21 +72,21 @@
             await self.release()
         return granted
 
-    async def order_all(self) -> bool:
+    async def request_all(self) -> bool:
         """Reserve or renew at every engine; return whether all agreed."""
         memory = self.gateway.dialect.memory
         statuses = await asyncio.gather(
             *(
-                self.order(
-                    share, memory.reserve(self.ticket, share.tokens, HOLD_S)
+                self.send_request(
+                    share, memory.reserve(self.ticket, share.tokens, LEASE_S)
                 )
                 for share in self.shares
             )
         )
-        return all(status == GRANTED for status in statuses)
+        return all(status == GRANTED_STATUS for status in statuses)
 
-    async def order(
-        self, share: Share, request: upstream.UpstreamRequest
+    async def send_request(
+        self, share: MemoryShare, request: upstream.UpstreamRequest
     ) -> int:
         """Give one order; return its status, 0 for no answer.
 
@@ -99,10 +99,10 @@
         announcement = share.endpoint.announcement
         request.headers["Host"] = announcement.address
         request.headers[names.expected_endpoint] = share.endpoint.name
-        sink = StatusSink()
+        sink = StatusOnlySink()
         pool = self.gateway.pool(announcement.address)
         try:
-            async with asyncio.timeout(ORDER_TIMEOUT_S):
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 await pool.call(request, sink, True)
         except TimeoutError:
             LOG.info(
@@ -116,8 +116,8 @@
     async def renew(self) -> None:
         """Renew until cancelled."""
         while True:
-            await asyncio.sleep(RENEW_S)
-            await self.order_all()
+            await asyncio.sleep(RENEW_INTERVAL_S)
+            await self.request_all()
 
     async def release(self) -> None:
         """Free all memory; what is not freed now ends with its lease."""
@@ -126,7 +126,7 @@
         memory = self.gateway.dialect.memory
         await asyncio.gather(
             *(
-                self.order(share, memory.release(self.ticket))
+                self.send_request(share, memory.release(self.ticket))
                 for share in self.shares
             )
         )
--- a/src/_coltsfootroad/gateway/ownwork.py
+++ b/src/_coltsfootroad/gateway/ownwork.py
@@ -34,14 +34,14 @@
             work.leads = place == 0
             work.kv_tokens = held.get(endpoint.name, 0)
             if prompt is not None:
-                describe(work, prompt, len(known), late)
+                set_prompt_fields(work, prompt, len(known), late)
             if work.leads and prompt is not None:
                 whole = prompt.prompt_tokens + prompt.output_tokens
                 work.kv_tokens = whole - sum(held.values())
             self.keys.append(self.gateway.load.add(work))
         # Places in batches are taken within milliseconds; plain endpoints
         # have room for two calls that meet.
-        self.gateway.tell_peers(urgent=prompt is not None)
+        self.gateway.notify_peers(urgent=prompt is not None)
 
     def end(self) -> None:
         """Forget the send, if there is one."""
@@ -50,9 +50,9 @@
         for key in self.keys:
             self.gateway.load.remove(key)
         self.keys.clear()
-        self.gateway.tell_peers()
+        self.gateway.notify_peers()
 
-    def note_event(self, pause_s: float) -> bool:
+    def record_event(self, pause_s: float) -> bool:
         """Note an event after a pause; return whether it was the first."""
         load = self.gateway.load
         work = load.own.get(self.keys[0]) if self.keys else None
@@ -62,7 +62,7 @@
             for key in self.keys:
                 load.own[key].writing = True
                 load.touch(key)
-            self.gateway.tell_peers()
+            self.gateway.notify_peers()
             return True
         if pause_s > work.gap_target_s > 0:
             # Late already; nothing more is lost by further pauses.
@@ -71,7 +71,7 @@
         return False
 
 
-def describe(
+def set_prompt_fields(
     work: work_lib.Work, prompt: spread.Prompt, parts: int, late: bool
 ) -> None:
     """Say what a prompt is at one of the endpoints that read it."""
--- a/src/_coltsfootroad/gateway/quarantine.py
+++ b/src/_coltsfootroad/gateway/quarantine.py
@@ -46,7 +46,7 @@
     view: quarantine_lib.QuarantineView = attrs.Factory(
         quarantine_lib.QuarantineView
     )
-    asking: set[fingerprints.Fingerprint] = attrs.Factory(set)
+    requested_trials: set[fingerprints.Fingerprint] = attrs.Factory(set)
     refusals: collections.Counter = attrs.Factory(collections.Counter)
 
     def learn(self, changes: watching.Changes) -> None:
@@ -79,9 +79,9 @@
         """
         fingerprint = entry.fingerprint
         due = entry.allows_trial(clocks.unix_time())
-        if not due or fingerprint in self.asking:
+        if not due or fingerprint in self.requested_trials:
             return False
-        self.asking.add(fingerprint)
+        self.requested_trials.add(fingerprint)
         try:
             answer = await self.link.call(
                 crashreports.StartTrial(
@@ -89,7 +89,7 @@
                 )
             )
         finally:
-            self.asking.discard(fingerprint)
+            self.requested_trials.discard(fingerprint)
         granted = isinstance(answer, crashreports.TrialAnswer)
         granted = granted and answer.granted
         LOG.info(
--- a/src/_coltsfootroad/gateway/reply.py
+++ b/src/_coltsfootroad/gateway/reply.py
@@ -52,7 +52,7 @@
         if self.streaming:
             return
         self.streaming = True
-        answer = answer_headers(headers)
+        answer = end_to_end_headers(headers)
         if "Content-Length" in answer:
             # Another endpoint may have to finish the stream.
             del answer["Content-Length"]
@@ -71,12 +71,12 @@
         if not data:
             return None
         self.on_event()
-        self.note_time(clocks.boot_time())
+        self.record_event_time(clocks.boot_time())
         written = self.connection.write(data)
-        written.add_done_callback(upstream.forget_failure)
+        written.add_done_callback(upstream.consume_exception)
         return written
 
-    def note_time(self, now: float) -> None:
+    def record_event_time(self, now: float) -> None:
         """Note when an event is passed on."""
         if self.first_event_s is None:
             self.first_event_s = round(now - self.arrived_at, 3)
@@ -93,17 +93,17 @@
         start = httputil.ResponseStartLine("HTTP/1.1", status, reason)
         self.connection.stream.set_nodelay(True)
         written = self.connection.write_headers(start, headers, body)
-        written.add_done_callback(upstream.forget_failure)
+        written.add_done_callback(upstream.consume_exception)
 
     def complete(self, sink) -> None:
         """End the caller's answer with an endpoint's whole answer."""
         if not self.streaming:
             body = b"".join(sink.parts)
-            headers = answer_headers(sink.headers)
+            headers = end_to_end_headers(sink.headers)
             headers["Content-Length"] = str(len(body))
             self.write_head(sink.status, sink.reason, headers, body)
         self.finish()
-        self.gateway.note_answer(
+        self.gateway.record_response(
             sink.status, clocks.boot_time() - self.arrived_at
         )
 
@@ -114,7 +114,7 @@
         except iostream.StreamClosedError:
             LOG.info("caller gone at the end", request=self.request_id)
 
-    def break_off(self, reason: str) -> None:
+    def abort_stream(self, reason: str) -> None:
         """Close the connection, as a half answer must not look whole."""
         LOG.warning(
             "stream broken off",
@@ -123,7 +123,7 @@
             reason=reason,
         )
         self.connection.close()
-        self.gateway.note_failure("broken_off")
+        self.gateway.record_failure("broken_off")
 
     def refuse(self, failure: errors.Failure, route: str) -> None:
         """Answer with a failure of our own."""
@@ -154,17 +154,17 @@
                 f"{failure.retry_after_s:g}"
             )
         status = failure.http_status
-        self.write_head(status, reason_of(status), headers, body)
+        self.write_head(status, reason_phrase(status), headers, body)
         self.finish()
-        self.gateway.note_failure(failure.code.value)
+        self.gateway.record_failure(failure.code.value)
 
 
-def reason_of(status: int) -> str:
+def reason_phrase(status: int) -> str:
     """Return the usual reason phrase of a status."""
     return httputil.responses.get(status, "Failed")
 
 
-def answer_headers(headers) -> httputil.HTTPHeaders:
+def end_to_end_headers(headers) -> httputil.HTTPHeaders:
     """Return an endpoint's headers without those of its connection."""
     answer = httputil.HTTPHeaders()
     for name, value in headers.get_all():
--- a/src/_coltsfootroad/gateway/answers.py
+++ b/src/_coltsfootroad/gateway/responses.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define
-class HeldAnswer(upstream.AnswerSink):
+class BufferedResponse(upstream.ResponseSink):
     """An answer that is collected whole before the caller gets any of it.
 
     Attributes:
@@ -47,23 +47,23 @@
         """Return whether an answer is the endpoint's own, to this request."""
         if self.headers.get(self.names.request_id, "") != self.request_id:
             # What was not read cannot be echoed.
-            return self.status in NOT_RUN_STATUSES and self.says_not_run()
+            return self.status in NOT_RUN_STATUSES and self.proves_not_run()
         if self.headers.get("Content-Encoding"):
             return False
         signed = self.names.signature in self.headers
         return signed or self.status >= REDIRECTION
 
-    def says_not_run(self) -> bool:
+    def proves_not_run(self) -> bool:
         """Return whether an answer proves that the request did not run."""
         return self.status == MISDIRECTED or self.names.not_run in self.headers
 
-    def ends_whole(self) -> bool:
+    def is_body_complete(self) -> bool:
         """Return whether nothing is missing that framing cannot show."""
         return True
 
 
 @attrs.define(kw_only=True)
-class StreamedAnswer(HeldAnswer):
+class StreamedResponse(BufferedResponse):
     """A stream whose events are passed on as they become whole."""
 
     reply: reply_lib.Reply
@@ -73,7 +73,7 @@
 
     def on_head(self, status, reason, headers):
         """Begin the caller's answer with the first endpoint's head."""
-        kept = HeldAnswer.on_head(self, status, reason, headers)
+        kept = BufferedResponse.on_head(self, status, reason, headers)
         if kept and self.is_stream():
             self.reply.open_stream(status, reason, headers)
         return kept
@@ -89,6 +89,6 @@
             return None
         return self.reply.pass_events(self.splitter.feed(data))
 
-    def ends_whole(self):
+    def is_body_complete(self):
         """Return whether no half event is left."""
         return not self.splitter.pending
--- a/src/_coltsfootroad/gateway/retryborrower.py
+++ b/src/_coltsfootroad/gateway/retryborrower.py
@@ -23,7 +23,7 @@
 
 
 @attrs.define(eq=False)
-class Borrowing:
+class BorrowState:
     """What is known of asking for one service.
 
     Attributes:
@@ -32,7 +32,7 @@
         refused: Retries that the budget had refused at the last request.
     """
 
-    is_asking: bool = False
+    is_in_flight: bool = False
     not_before: float = 0.0
     refused: int = 0
 
@@ -49,9 +49,9 @@
     link: leaderlink.LeaderLink
     rng: random.Random
     spawn: Callable[[object], None]
-    services: dict[str, Borrowing] = attrs.Factory(dict)
+    services: dict[str, BorrowState] = attrs.Factory(dict)
 
-    def note_use(
+    def borrow_if_exhausted(
         self,
         service: str,
         budget: windowbudget.WindowBudget,
@@ -61,10 +61,10 @@
         """Ask for retries if the next one would be refused."""
         if budget.has_room(floor_share) or budget.loans.left(now):
             return
-        state = self.services.setdefault(service, Borrowing())
-        if state.is_asking or now < state.not_before:
+        state = self.services.setdefault(service, BorrowState())
+        if state.is_in_flight or now < state.not_before:
             return
-        state.is_asking = True
+        state.is_in_flight = True
         wanted = min(MAX_WANTED, 1 + budget.refused - state.refused)
         state.refused = budget.refused
         self.spawn(self.borrow(service, budget, state, wanted))
@@ -73,7 +73,7 @@
         self,
         service: str,
         budget: windowbudget.WindowBudget,
-        state: Borrowing,
+        state: BorrowState,
         wanted: int,
     ) -> None:
         """Ask the leader once."""
@@ -89,7 +89,7 @@
                 )
             )
         finally:
-            state.is_asking = False
+            state.is_in_flight = False
         now = clocks.boot_time()
         lent = answer
         if not isinstance(lent, retrylending.RetriesLent):
--- a/src/_coltsfootroad/gateway/sendbudget.py
+++ b/src/_coltsfootroad/gateway/sendbudget.py
@@ -36,7 +36,7 @@
         """Return the gateway's settled part of the slack."""
         return self.exchange.gateway.floor_share.least(now)
 
-    def may_go_on(self) -> bool:
+    def allows_another_send(self) -> bool:
         """Return whether the budget allows one more send."""
         return not self.arrivals or self.reserve(clocks.boot_time())
 
@@ -47,7 +47,7 @@
         share = self.floor_share(now)
         self.retry = self.budget.reserve(share, now)
         is_reserved = self.retry is not None
-        self.exchange.gateway.retry_borrower.note_use(
+        self.exchange.gateway.retry_borrower.borrow_if_exhausted(
             self.exchange.service.name, self.budget, share, now
         )
         self.log("retry reserved" if is_reserved else "retry refused", now)
--- a/src/_coltsfootroad/gateway/server.py
+++ b/src/_coltsfootroad/gateway/server.py
@@ -36,16 +36,16 @@
 from _coltsfootroad.shell import web
 
 LOG = logs.logger("gateway")
-TICK_S = 0.25
+TICK_INTERVAL_S = 0.25
 # Age of the last word of the leader past which the gateway no longer calls
 # itself ready; callers should have moved before it refuses.
-READY_BOUND_S = 3.5
+MAX_READY_PROOF_AGE_S = 3.5
 # Age past which what it says of other gateways is not to be used.
-MEMBERS_BOUND_S = 30.0
+MAX_MEMBERS_PROOF_AGE_S = 30.0
 # A stopping gateway takes requests for this long, as callers keep addresses
 # for a few seconds; after it, one that needs long would be cut off.
 ACCEPT_WHILE_STOPPING_S = 3.0
-LEARNED_TEXTS = {
+ENDPOINT_EVENTS = {
     endpointset.Learned.NEW: "endpoint announced",
     endpointset.Learned.ENDED: "endpoint left",
     endpointset.Learned.RESTARTED: "endpoint restarted",
@@ -53,7 +53,7 @@
 # Left of the grace period when the process must be done.
 STOP_MARGIN_S = 0.6
 # A stopping gateway waits this long for its last orders to engines.
-LAST_ORDERS_S = 0.2
+FINAL_TASKS_TIMEOUT_S = 0.2
 
 
 class Gateway:
@@ -75,7 +75,7 @@
         self.incarnation = time.time_ns()
         self.started_at = clocks.boot_time()
         self.view = routeview.RouteView(settings.staleness_bound_s)
-        self.start_up = startup.StartUp(self.view)
+        self.start_up = startup.StartupGate(self.view)
         self.endpoints = endpointset.EndpointSet()
         self.load = workload.Workload()
         self.isolation = isolation.Isolation()
@@ -87,7 +87,7 @@
             self.isolation,
         )
         self.crash_detector = crashdetector.CrashDetector(
-            self.endpoints, self.spawn, self.note_crash
+            self.endpoints, self.spawn, self.report_crash
         )
         self.pools: dict[str, upstream.EndpointPool] = {}
         self.budgets: dict[str, windowbudget.WindowBudget] = {}
@@ -163,7 +163,7 @@
     async def tick(self) -> None:
         """Keep the other gateways' views alive."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             self.load.expire(clocks.boot_time())
             self.gossip.refresh()
             traffic.PROCESS.log(clocks.boot_time())
@@ -184,7 +184,7 @@
         while self.running and clocks.boot_time() < end + STOP_MARGIN_S / 2:
             await asyncio.sleep(0.02)
         if self.tasks:
-            await asyncio.wait(self.tasks, timeout=LAST_ORDERS_S)
+            await asyncio.wait(self.tasks, timeout=FINAL_TASKS_TIMEOUT_S)
         LOG.info("stopped", running=len(self.running))
         self.ticker.cancel()
         self.gossip.close()
@@ -217,7 +217,7 @@
         if learned is endpointset.Learned.OLD:
             return
         LOG.info(
-            LEARNED_TEXTS[learned],
+            ENDPOINT_EVENTS[learned],
             endpoint=announcement.endpoint,
             incarnation=announcement.incarnation,
             seq=announcement.seq,
@@ -230,14 +230,14 @@
 
     def is_ready(self) -> bool:
         """Return whether callers should come here."""
-        young = self.view.age_s(clocks.boot_time()) < READY_BOUND_S
+        young = self.view.age_s(clocks.boot_time()) < MAX_READY_PROOF_AGE_S
         return young and self.view.table is not None and not self.leaving
 
     def knows_members(self) -> bool:
         """Return whether the list of gateways is young enough to use."""
-        return self.view.age_s(clocks.boot_time()) < MEMBERS_BOUND_S
+        return self.view.age_s(clocks.boot_time()) < MAX_MEMBERS_PROOF_AGE_S
 
-    def refuses_new(self, now: float) -> bool:
+    def refuses_new_requests(self, now: float) -> bool:
         """Return whether a stopping gateway takes no more requests."""
         return now > self.stopping_at + ACCEPT_WHILE_STOPPING_S
 
@@ -245,7 +245,7 @@
         """Return whether answers end their connection."""
         return self.leaving
 
-    def note_members(self) -> None:
+    def update_floor_share(self) -> None:
         """Take what the members known now leave of limits that all share."""
         share = self.view.rotation.limit_share(self.settings.gateway)
         self.floor_share.update(
@@ -279,29 +279,29 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def tell_peers(self, urgent: bool = False) -> None:
+    def notify_peers(self, urgent: bool = False) -> None:
         """Let the other gateways know that own work has changed."""
-        self.gossip.plan(
-            gossip_lib.COALESCE_S if urgent else gossip_lib.COALESCE_LATER_S
+        self.gossip.schedule_send(
+            gossip_lib.COALESCE_S if urgent else gossip_lib.LAZY_COALESCE_S
         )
 
     # --- facts -----------------------------------------------------------
 
-    def note_first_event(self, seconds: float) -> None:
+    def record_first_event(self, seconds: float) -> None:
         """Count a first event."""
         self.first_events.record(seconds)
 
-    def note_answer(self, status: int, seconds: float) -> None:
+    def record_response(self, status: int, seconds: float) -> None:
         """Count a whole answer."""
         self.counts[f"status_{status // 100}xx"] += 1
         self.answer_times.record(seconds)
 
-    def note_crash(self, crash: crashes.Crash) -> None:
+    def report_crash(self, crash: crashes.Crash) -> None:
         """Report an endpoint's crash with the requests in flight there."""
         self.lost_in_crashes += len(crash.suspects)
         self.crash_reporter.report(crash)
 
-    def note_failure(self, code: str) -> None:
+    def record_failure(self, code: str) -> None:
         """Count a refusal or failure of our own."""
         self.counts[code] += 1
 
@@ -319,7 +319,7 @@
                 "foreign_work": self.load.foreign,
                 "counts": dict(self.counts),
                 "quarantine": list(self.quarantine.view.entries.values()),
-                "crashes": list(self.crash_reporter.kept.values()),
+                "crashes": list(self.crash_reporter.recent.values()),
                 "isolated": list(self.isolation.suspects),
                 "running": [e.request_id for e in self.running],
             }
--- a/src/_coltsfootroad/gateway/startup.py
+++ b/src/_coltsfootroad/gateway/startup.py
@@ -17,25 +17,25 @@
 from _coltsfootroad.shell import clocks
 
 # Callers of a stream leave after 2 s without an event.
-HOLD_S = 1.5
+MAX_HOLD_S = 1.5
 # Endpoints announce themselves each second or so: by then most are known, and
 # the first ones known are not handed everybody's requests. A request that the
 # ones known can serve in time does not wait for more.
-SETTLE_S = 0.8
+ENDPOINT_SETTLE_S = 0.8
 # Endpoints whose announcements found no leader make them again at once; the
 # first two or three of them have no room for all that waits.
-FIRST_S = 0.2
+FIRST_ENDPOINTS_S = 0.2
 # Part of a caller's stated time that a request may be held.
-PATIENCE_SHARE = 0.5
-LOOK_EVERY_S = 0.02
+MAX_HOLD_FRACTION = 0.5
+POLL_INTERVAL_S = 0.02
 # The same for what takes a choice of endpoints, as up to `MAX_HELD` may look.
-CHOOSE_EVERY_S = 0.06
+CHOICE_POLL_INTERVAL_S = 0.06
 # Requests that wait at a time; more are refused at once.
 MAX_HELD = 300
 
 
 @attrs.define
-class StartUp:
+class StartupGate:
     """Holds requests until routes and endpoints are known, but briefly."""
 
     view: routeview.RouteView
@@ -53,13 +53,16 @@
             return True
         since = self.registry_since
         known = self.view.table is not None and since is not None
-        self.done = known and now - since >= SETTLE_S
+        self.done = known and now - since >= ENDPOINT_SETTLE_S
         return self.done
 
-    def knows_some(self) -> bool:
+    def knows_first_endpoints(self) -> bool:
         """Return whether those endpoints are known that announce at once."""
         since = self.registry_since
-        return since is not None and clocks.boot_time() - since >= FIRST_S
+        return (
+            since is not None
+            and clocks.boot_time() - since >= FIRST_ENDPOINTS_S
+        )
 
     def knows_routes(self) -> bool:
         """Return whether a leader has told the routes in force."""
@@ -68,9 +71,9 @@
     async def wait(
         self,
         arrived_at: float,
-        patience_s: float,
-        until: Callable[[], bool],
-        every_s: float = LOOK_EVERY_S,
+        caller_timeout_s: float,
+        can_proceed: Callable[[], bool],
+        poll_interval_s: float = POLL_INTERVAL_S,
     ) -> None:
         """Hold a request until it can be served or its caller would leave.
 
@@ -81,10 +84,10 @@
         if self.is_settled(clocks.boot_time()) or self.held >= MAX_HELD:
             return
         self.held += 1
-        end = arrived_at + min(HOLD_S, PATIENCE_SHARE * patience_s)
+        end = arrived_at + min(MAX_HOLD_S, MAX_HOLD_FRACTION * caller_timeout_s)
         try:
-            while not until() and clocks.boot_time() < end:
-                await asyncio.sleep(every_s)
+            while not can_proceed() and clocks.boot_time() < end:
+                await asyncio.sleep(poll_interval_s)
                 if self.is_settled(clocks.boot_time()):
                     return
         finally:
--- a/src/_coltsfootroad/gateway/upstream.py
+++ b/src/_coltsfootroad/gateway/upstream.py
@@ -25,16 +25,16 @@
 CONNECT_TIMEOUT_S = 0.4
 # A kept connection is used within this part of the time that the endpoint
 # promised to keep it; closing may cross with the next request.
-KEEP_SHARE = 0.5
+KEEP_ALIVE_FRACTION = 0.5
 # Used when an endpoint does not say how long it keeps connections.
-UNSTATED_KEEP_S = 1.0
+DEFAULT_KEEP_ALIVE_S = 1.0
 MAX_IDLE_PER_ENDPOINT = 8
 MAX_HEADER_BYTES = 64 * 1024
 MAX_BODY_BYTES = 64 * 1024 * 1024
 CHUNK_BYTES = 64 * 1024
 # How the bodies of requests and answers are counted.
 REQUEST_KIND = "request"
-ANSWER_KIND = "answer"
+RESPONSE_KIND = "answer"
 
 
 class CallEnd(enum.Enum):
@@ -58,7 +58,7 @@
     body: bytes = b""
 
 
-class AnswerSink(abc.ABC):
+class ResponseSink(abc.ABC):
     """Takes an answer as it arrives."""
 
     @abc.abstractmethod
@@ -70,28 +70,28 @@
         """Take bytes of the body; may return a future to wait for."""
 
 
-def always() -> bool:
+def allow_send() -> bool:
     """Let everything be sent."""
     return True
 
 
 @attrs.define
-class KeptConnection:
+class IdleConnection:
     """An idle connection and until when it may be used."""
 
     stream: iostream.IOStream
     use_until: float
 
 
-class AnswerReader(httputil.HTTPMessageDelegate):
+class ResponseReader(httputil.HTTPMessageDelegate):
     """Passes tornado's parsing events to a sink."""
 
-    def __init__(self, sink: AnswerSink):
+    def __init__(self, sink: ResponseSink):
         self.sink = sink
         self.headers = None
         self.complete = False
         self.status = 0
-        self.given_up = False
+        self.aborted = False
 
     def headers_received(self, start_line, headers):
         """Take the head of an answer; interim ones are dropped."""
@@ -99,15 +99,15 @@
             return
         self.status = start_line.code
         self.headers = headers
-        self.given_up = not self.sink.on_head(
+        self.aborted = not self.sink.on_head(
             start_line.code, start_line.reason, headers
         )
         return
 
     def data_received(self, chunk):
         """Take a piece of the body."""
-        traffic.received(ANSWER_KIND, len(chunk))
-        return None if self.given_up else self.sink.on_data(chunk)
+        traffic.received(RESPONSE_KIND, len(chunk))
+        return None if self.aborted else self.sink.on_data(chunk)
 
     def finish(self):
         """Note that the framing says that the answer is whole."""
@@ -122,7 +122,7 @@
     """The connections to one endpoint's address."""
 
     address: str
-    idle: list[KeptConnection] = attrs.Factory(list)
+    idle: list[IdleConnection] = attrs.Factory(list)
     busy: int = 0
     opened: int = 0
 
@@ -149,18 +149,20 @@
         """Return a kept connection that is surely still good."""
         now = clocks.boot_time()
         while self.idle:
-            kept = self.idle.pop()
-            if now < kept.use_until and is_quiet(kept.stream):
-                return kept.stream
-            kept.stream.close()
+            idle_connection = self.idle.pop()
+            if now < idle_connection.use_until and is_open_without_input(
+                idle_connection.stream
+            ):
+                return idle_connection.stream
+            idle_connection.stream.close()
         return None
 
     async def call(
         self,
         request: UpstreamRequest,
-        sink: AnswerSink,
+        sink: ResponseSink,
         reuse: bool,
-        may_send: Callable[[], bool] = always,
+        may_send: Callable[[], bool] = allow_send,
     ) -> CallEnd:
         """Send a request and read its answer.
 
@@ -186,11 +188,11 @@
         self,
         stream: iostream.IOStream,
         request: UpstreamRequest,
-        sink: AnswerSink,
+        sink: ResponseSink,
     ) -> CallEnd:
         """Run one request on an open connection, then keep or close it."""
         connection = http1connection.HTTP1Connection(stream, True, PARAMETERS)
-        reader = AnswerReader(sink)
+        reader = ResponseReader(sink)
         keep = False
         try:
             start = httputil.RequestStartLine(
@@ -199,13 +201,13 @@
             written = connection.write_headers(
                 start, request.headers, request.body
             )
-            written.add_done_callback(forget_failure)
+            written.add_done_callback(consume_exception)
             traffic.sent(REQUEST_KIND, len(request.body))
             connection.finish()
             stream.set_nodelay(True)
             await connection.read_response(reader)
             whole = reader.complete and stream.error is None
-            keep = whole and may_keep(stream, reader, written.done())
+            keep = whole and is_reusable(stream, reader, written.done())
             return CallEnd.COMPLETE if whole else CallEnd.LOST
         except (iostream.StreamClosedError, OSError):
             return CallEnd.LOST
@@ -221,15 +223,15 @@
         if len(self.idle) >= MAX_IDLE_PER_ENDPOINT or promised_s <= 0:
             stream.close()
             return
-        use_until = clocks.boot_time() + promised_s * KEEP_SHARE
+        use_until = clocks.boot_time() + promised_s * KEEP_ALIVE_FRACTION
         # A close callback makes the stream watch for the other side's end.
-        stream.set_close_callback(do_nothing)
-        self.idle.append(KeptConnection(stream, use_until))
+        stream.set_close_callback(ignore_close)
+        self.idle.append(IdleConnection(stream, use_until))
 
     def close(self) -> None:
         """Close the idle connections."""
-        for kept in self.idle:
-            kept.stream.close()
+        for idle_connection in self.idle:
+            idle_connection.stream.close()
         self.idle.clear()
 
 
@@ -241,17 +243,17 @@
 )
 
 
-def do_nothing() -> None:
+def ignore_close() -> None:
     """Take the end of an idle connection; it is found closed later."""
 
 
-def forget_failure(future: asyncio.Future) -> None:
+def consume_exception(future: asyncio.Future) -> None:
     """Fetch a failed write's error; the reading side reports it."""
     if not future.cancelled():
         future.exception()
 
 
-def is_quiet(stream: iostream.IOStream) -> bool:
+def is_open_without_input(stream: iostream.IOStream) -> bool:
     """Return whether an idle connection is open and nothing has come in.
 
     Bytes that an endpoint sends unasked would be read as the next answer.
@@ -269,22 +271,22 @@
     return False
 
 
-def may_keep(
-    stream: iostream.IOStream, reader: AnswerReader, all_written: bool
+def is_reusable(
+    stream: iostream.IOStream, reader: ResponseReader, all_written: bool
 ) -> bool:
     """Return whether a connection can carry another request.
 
     An endpoint may answer before it has read a long body; what is left of
     that body would then be taken for the next request.
     """
-    if reader.given_up or not all_written or stream.closed():
+    if reader.aborted or not all_written or stream.closed():
         return False
     tokens = reader.headers.get("Connection", "").lower()
     framed = (
         "Content-Length" in reader.headers
         or "Transfer-Encoding" in reader.headers
     )
-    return framed and "close" not in tokens and is_quiet(stream)
+    return framed and "close" not in tokens and is_open_without_input(stream)
 
 
 def keep_alive_s(headers) -> float:
@@ -293,4 +295,4 @@
         name, _, value = word.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
             return float(value)
-    return UNSTATED_KEEP_S
+    return DEFAULT_KEEP_ALIVE_S
--- a/src/_coltsfootroad/gateway/watch.py
+++ b/src/_coltsfootroad/gateway/watch.py
@@ -25,17 +25,17 @@
 # An answer without news comes after this time. Together with the time-out and
 # the age of the relay's own proof it keeps the proof younger than two seconds
 # while anybody leads, and lets the loss of a gateway in use show in 1.6 s.
-HOLD_S = 0.4
+POLL_HOLD_S = 0.4
 # The same for a gateway that callers are not sent to: its loss hurts nobody,
 # and most of hundreds of gateways ask less than half as often.
-SPARE_HOLD_S = 1.0
+UNUSED_GATEWAY_POLL_HOLD_S = 1.0
 # How much longer than it is held back an answer may take on its way.
-TRAVEL_S = 0.3
+POLL_TRANSIT_S = 0.3
 # Pause after an answer: one that brings a change each 60 ms is enough.
-MIN_PAUSE_S = 0.02
-FAILURE_PAUSE_S = 0.1
+POLL_PAUSE_S = 0.02
+POLL_FAILURE_PAUSE_S = 0.1
 # A fault comes again with each answer until a later version mends it.
-FAULTS = logs.LineLimit(5, 10.0)
+POLL_ERROR_LOG_LIMIT = logs.LineLimit(5, 10.0)
 # A gateway needs no more of what the control state speaks, and starts sooner
 # without the rest.
 MESSAGES = wire.Wire.of(
@@ -67,7 +67,7 @@
             seeds=list(settings.control()),
         )
         self.epoch = ""
-        self.mark = 0
+        self.registry_mark = 0
         self.connected = False
         # Endpoints that a leader which knows nothing of them has to learn.
         self.backlog = backlog_lib.Backlog()
@@ -85,20 +85,20 @@
     async def run(self) -> None:
         """Ask until cancelled."""
         while True:
-            answered = await self.try_ask()
-            pause_s = MIN_PAUSE_S if answered else FAILURE_PAUSE_S
+            answered = await self.try_poll()
+            pause_s = POLL_PAUSE_S if answered else POLL_FAILURE_PAUSE_S
             await asyncio.sleep(pause_s)
 
-    async def try_ask(self) -> bool:
+    async def try_poll(self) -> bool:
         """Ask once; a fault in taking an answer must not end the watch.
 
         A version that cannot be applied would otherwise keep away the next
         one, which may mend it. What was not taken proves nothing.
         """
         try:
-            return await self.ask()
+            return await self.poll()
         except Exception:  # noqa: BLE001
-            if FAULTS.allows(clocks.boot_time()):
+            if POLL_ERROR_LOG_LIMIT.allows(clocks.boot_time()):
                 LOG.error(
                     "answer not taken",
                     version=self.gateway.view.version,
@@ -106,22 +106,22 @@
                 )
             return False
 
-    async def ask(self) -> bool:
+    async def poll(self) -> bool:
         """Ask once; return whether there was an answer that helps."""
-        asked_at = clocks.boot_time()
+        polled_at = clocks.boot_time()
         before = self.choice.current
-        address = self.choice.choose(asked_at)
+        address = self.choice.choose(polled_at)
         if address != before:
             LOG.info("asks", address=address, before=before)
         # Held back, an answer proves no more than a quick one.
         question = self.question()
         answer = await self.channels.call(
-            address, question, question.wait_s + TRAVEL_S
+            address, question, question.wait_s + POLL_TRANSIT_S
         )
         found = answer.ok if answer.is_ok() else None
         if isinstance(found, watching.News):
-            self.note_link(True, address)
-            self.take(question, found, asked_at)
+            self.log_connection_change(True, address)
+            self.take(question, found, polled_at)
             return True
         now = clocks.boot_time()
         if isinstance(found, watching.AskElsewhere):
@@ -130,7 +130,7 @@
         hint = found.hint if isinstance(found, outcomes.NotLeader) else ""
         self.choice.follow(hint, address, now)
         reason = answer.error if answer.is_error() else type(found).__name__
-        self.note_link(False, f"{address}: {reason}")
+        self.log_connection_change(False, f"{address}: {reason}")
         return False
 
     def question(self) -> watching.Watch:
@@ -142,17 +142,17 @@
                 self.gateway.view.config
             ),
             epoch=self.epoch,
-            registry_mark=self.mark,
+            registry_mark=self.registry_mark,
             announcements=self.backlog_page(),
-            wait_s=self.hold_s(),
+            wait_s=self.poll_hold_s(),
             knows_relays=bool(self.choice.relays),
         )
 
-    def hold_s(self) -> float:
+    def poll_hold_s(self) -> float:
         """Return for how long an answer without news may be held back."""
         gateway = self.gateway
         used = gateway.view.rotation.uses(gateway.settings.gateway)
-        return HOLD_S if used else SPARE_HOLD_S
+        return POLL_HOLD_S if used else UNUSED_GATEWAY_POLL_HOLD_S
 
     def backlog_page(self) -> tuple[registry.Announcement, ...]:
         """Return the announcements of the next request, as known now."""
@@ -172,7 +172,7 @@
             leaving=self.gateway.leaving,
         )
 
-    def note_link(self, connected: bool, detail: str) -> None:
+    def log_connection_change(self, connected: bool, detail: str) -> None:
         """Log each lost or regained way to the control state once."""
         if connected != self.connected:
             text = "leader regained" if connected else "leader lost"
@@ -180,7 +180,7 @@
         self.connected = connected
 
     def take(
-        self, question: watching.Watch, news: watching.News, asked_at: float
+        self, question: watching.Watch, news: watching.News, polled_at: float
     ) -> None:
         """Put the answer to a question in force."""
         gateway = self.gateway
@@ -197,7 +197,7 @@
         if changes.whole and self.epoch:
             self.backlog.add_all(gateway.endpoints.everything())
         self.epoch = news.epoch
-        self.mark = news.registry_mark
+        self.registry_mark = news.registry_mark
         self.choice.learn_seeds(news.replicas)
         if changes.whole:
             self.choice.relays.clear()
@@ -215,8 +215,8 @@
         )
         if not self.take_routes(question, news):
             return
-        gateway.view.confirm(asked_at - news.proof_age_s)
-        gateway.note_members()
+        gateway.view.confirm(polled_at - news.proof_age_s)
+        gateway.update_floor_share()
         gateway.start_up.on_news(news.registry_age_s, clocks.boot_time())
         if news.proof_age_s > relaychoice.BEHIND_S:
             now = clocks.boot_time()
