--- a/src/_coltsfootroad/gateway/__init__.py
+++ b/src/_coltsfootroad/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: passes requests on to endpoints by routes."""
+"""The HTTP gateway: forwards callers' requests to endpoints by routes."""
--- a/src/_coltsfootroad/gateway/admission.py
+++ b/src/_coltsfootroad/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is admitted: its route, its key, its time."""
+"""Admits or refuses a request by its route, its key and its deadline."""
 
 import attrs
 from expression import Error
@@ -12,29 +12,31 @@
 from _coltsfootroad.gateway import names as names_lib
 
 MS = 1000
-# Time in which an answer still travels to the caller.
+# Part of the caller's timeout that is left for the response to reach it.
 RESPONSE_TRANSIT_S = 0.03
 DEFAULT_DEADLINE_S = 30.0
-# A gateway without routes has just started, often with all others: replicas
-# elect a leader within 1.2 s of their start and gateways hear of it at once.
-# Callers retry once, so coming back too early loses the request.
+# A gateway without routes has just started, often together with all other
+# processes. Replicas elect a leader within 1.2 s of their start, and gateways
+# learn of it at once. Callers retry once, so a retry that comes too early loses
+# the request.
 NO_ROUTES_RETRY_AFTER_S = 2.0
-# A gateway that lost the leader: an election takes 1.2 s at most.
+# After the leader is lost, an election takes at most 1.2 s.
 FENCED_RETRY_AFTER_S = 1.2
-# A caller that states less than the route's timeout by more than this has
-# spent the rest already; what travels takes a few milliseconds.
+# A stated timeout that is shorter than the route's by more than this means that
+# the caller has spent the difference on an earlier try; network transit takes
+# only a few milliseconds.
 RETRIED_CALL_MARGIN_S = 0.1
 
 
 @attrs.define
 class CallerRequest:
-    """A request as it came in.
+    """A request as received.
 
     Attributes:
         start: Request line.
-        headers: As received.
-        body: The whole body.
-        arrived_at: Boot clock seconds when the head was read.
+        headers: Headers as received.
+        body: The complete body.
+        arrived_at: Boot clock seconds when the headers were read.
     """
 
     start: httputil.RequestStartLine
@@ -43,22 +45,22 @@
     arrived_at: float
 
     def stated_timeout_s(self, names: names_lib.HeaderNames) -> float:
-        """Return for how long the caller says that it will wait."""
+        """Return the timeout that the caller states, in seconds."""
         text = self.headers.get(names.deadline_ms, "")
         return int(text) / MS if text.isdigit() else DEFAULT_DEADLINE_S
 
 
 @attrs.frozen(kw_only=True)
 class Admitted:
-    """What an admitted request may do.
+    """An admitted request's route and limits.
 
     Attributes:
-        route: Its route.
-        service: The service that it goes to.
-        workspace: Holder of its key, empty for public routes.
-        deadline: Boot clock seconds by which it must be answered.
-        prompt: Size of its prompt, None for plain requests.
-        returned: Whether its caller seems to have waited elsewhere before.
+        route: The request's route.
+        service: The service that the request is routed to.
+        workspace: Workspace of the request's key, empty for public routes.
+        deadline: Boot clock seconds by which the response is due.
+        prompt: Size of the prompt, None for plain requests.
+        returned: Whether the caller seems to have spent time on an earlier try.
     """
 
     route: routes.Route
@@ -71,7 +73,7 @@
 
 @attrs.frozen
 class Refused:
-    """Why a request is not admitted; the route's name if it has one."""
+    """The reason for not admitting a request, and its route if known."""
 
     failure: errors.Failure
     route: str = ""
@@ -80,14 +82,14 @@
 def refusal(
     code: errors.ErrorCode, message: str, retry_after_s: float | None = None
 ) -> errors.Failure:
-    """Return a failure that proves that nothing ran."""
+    """Return a failure that states that the request did not run."""
     return errors.Failure(code, message, errors.Ran.NO, retry_after_s)
 
 
 def admit(
     gateway, request: CallerRequest, request_id: str, now: float
 ) -> Result[Admitted, Refused]:
-    """Return what a request may do, or why it is refused."""
+    """Return the route and limits of a request, or why it is refused."""
     table = gateway.view.table
     if table is None:
         return Error(
@@ -104,8 +106,8 @@
     route = table.match(host, path)
     failure = gateway_refusal(gateway, now)
     if failure is not None:
-        # Outdated routes give no definite answer: an unknown host or key may
-        # be known by now.
+        # Checked before "not found" and "unauthorized": with outdated routes,
+        # an unknown host or key may exist by now.
         return Error(Refused(failure, route.name if route else ""))
     if route is None:
         text = f"no route for host {host!r} and path {path!r}"
@@ -126,13 +128,13 @@
     service: routes.ServiceSpec,
     workspace: str,
 ) -> Admitted:
-    """Return what a request may do on its route, by what its headers say."""
+    """Return the limits of a request from its route and its headers."""
     stated_timeout_s = request.stated_timeout_s(names)
     return Admitted(
         route=route,
         service=service,
         workspace=workspace,
-        # The earlier of the caller's deadline and the route's.
+        # The earlier of the caller's and the route's deadline.
         deadline=request.arrived_at
         + min(stated_timeout_s - RESPONSE_TRANSIT_S, route.timeout_s),
         prompt=parse_prompt(request.headers.get(names.tokens, ""), route),
@@ -143,12 +145,12 @@
 def find_workspace(
     table: routes.RouteTable, route: routes.Route, key: str
 ) -> str | None:
-    """Return the workspace of a key, empty if none is needed, else None."""
+    """Return a key's workspace, "" for public routes, None if unknown."""
     return table.workspace(key) if table.needs_key(route) else ""
 
 
 def gateway_refusal(gateway, now: float) -> errors.Failure | None:
-    """Return why the gateway itself admits nothing now, or None."""
+    """Return why the gateway admits no request now, None if it does."""
     view = gateway.view
     if not view.is_current(now):
         return refusal(
@@ -164,7 +166,7 @@
 
 
 def parse_prompt(text: str, route: routes.Route) -> spread.Prompt | None:
-    """Return the prompt that a header tells of, None if it tells of none."""
+    """Return the prompt size from a header, None if it states none."""
     prompt, _, output = text.partition(",")
     if not (prompt.strip().isdigit() and output.strip().isdigit()):
         return None
--- a/src/_coltsfootroad/gateway/contentguard.py
+++ b/src/_coltsfootroad/gateway/contentguard.py
@@ -1,4 +1,4 @@
-"""Keeps one request from endpoints while its content is in quarantine."""
+"""Stops one request from running while its content is in quarantine."""
 
 import asyncio
 
@@ -16,14 +16,14 @@
 
 @attrs.define(eq=False)
 class ContentGuard:
-    """What one exchange knows of its request's content.
+    """Checks one exchange's request against the quarantine.
 
     Attributes:
-        exchange: The exchange, once its request is admitted.
-        known: The fingerprint, computed when it is needed first.
-        on_trial: Whether the leader lets it run in spite of an entry.
-        stopped: Whether the present send was stopped by an entry.
-        send_timeout: Ends the present send, None between sends.
+        exchange: The exchange; its request must be admitted before use.
+        cached_fingerprint: The request's fingerprint, None before first use.
+        on_trial: Whether the leader granted a trial run despite an entry.
+        stopped: Whether an entry stopped the current send.
+        send_timeout: Ends the current send, None between sends.
     """
 
     exchange: object
@@ -34,12 +34,12 @@
 
     @property
     def size(self) -> tuple[str, int]:
-        """Return what tells requests apart without a digest."""
+        """Return workspace and body length, a cheap check before the digest."""
         exchange = self.exchange
         return exchange.admitted.workspace, len(exchange.request.body)
 
     def fingerprint(self) -> fingerprints.Fingerprint:
-        """Return the fingerprint of the request, computed once."""
+        """Return the request's fingerprint, computed on first use."""
         if self.cached_fingerprint is None:
             request = self.exchange.request
             self.cached_fingerprint = fingerprints.compute(
@@ -52,20 +52,20 @@
         return self.cached_fingerprint
 
     def entry(self) -> quarantine.Entry | None:
-        """Return the entry that forbids the request, None if it may run."""
+        """Return the entry that blocks the request, None if it may run."""
         view = self.exchange.gateway.quarantine.view
         if self.on_trial or not view.may_hold(*self.size):
             return None
         return view.entries.get(self.fingerprint())
 
     async def refuse(self) -> bool:
-        """Refuse a request in quarantine unless it is granted a trial."""
+        """Refuse a request in quarantine unless a trial is granted."""
         entry = self.entry()
         if entry is None:
             return False
         exchange = self.exchange
-        gateway_quarantine = exchange.gateway.quarantine
-        if not exchange.sends.count and await gateway_quarantine.start_trial(
+        local_quarantine = exchange.gateway.quarantine
+        if not exchange.sends.count and await local_quarantine.start_trial(
             entry
         ):
             self.on_trial = True
@@ -74,18 +74,18 @@
             exchange.reply.abort_stream("the request is in quarantine")
         else:
             has_run = exchange.sends.runs > 0
-            exchange.refuse(gateway_quarantine.refusal(entry, has_run))
+            exchange.refuse(local_quarantine.refusal(entry, has_run))
         return True
 
     def stop_if_quarantined(self) -> None:
-        """End the present send if the request must not run any longer."""
+        """Stop the current send if the request is now in quarantine."""
         if self.send_timeout is None or self.entry() is None:
             return
         self.stopped = True
         self.send_timeout.reschedule(asyncio.get_running_loop().time())
 
     def isolated_as(self) -> fingerprints.Fingerprint | None:
-        """Return the fingerprint if other suspects are to be kept away."""
+        """Return the fingerprint if the request must be isolated, else None."""
         reporter = self.exchange.gateway.crash_reporter
         if self.on_trial or not reporter.may_suspect(*self.size):
             return None
@@ -94,7 +94,7 @@
         return fingerprint if isolates else None
 
     def on_answered(self) -> None:
-        """Note that an endpoint has run the request and lives."""
+        """Handle a response, which shows that the endpoint survived."""
         gateway = self.exchange.gateway
         if self.on_trial:
             gateway.spawn(gateway.quarantine.release(self.fingerprint()))
@@ -107,7 +107,7 @@
         sent_at: float,
         now: float,
     ) -> None:
-        """Note that the endpoint may yet crash under the stopped send."""
+        """Report a stopped send, as it may still crash the endpoint."""
         suspect = crashes.Suspect(
             fingerprint=self.fingerprint(), sent_at=sent_at
         )
@@ -125,7 +125,7 @@
         sent_at: float,
         has_output: bool,
     ) -> None:
-        """Note that an endpoint may have crashed under the request."""
+        """Handle a lost connection, possibly a crash of the endpoint."""
         suspect = crashes.Suspect(
             fingerprint=self.fingerprint(),
             sent_at=sent_at,
--- a/src/_coltsfootroad/gateway/crashdetector.py
+++ b/src/_coltsfootroad/gateway/crashdetector.py
@@ -1,4 +1,4 @@
-"""Finds out whether lost sends mean that their endpoint has crashed."""
+"""Detects endpoint crashes from sends whose connection was lost."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,24 +13,24 @@
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("crash")
-# Connections of a process that ends break in any order, its listener may be
-# the last to go.
+# The connections of an ending process close in any order, and its listener may
+# close last.
 PROBE_DELAY_S = 0.01
-# Endpoints that are remembered as crashed; sends that are found lost later
+# Crashed endpoints that are remembered, as sends that are found lost later
 # belong to the same crash.
 MAX_CRASHED = 256
 
 
 @attrs.define(eq=False)
 class CrashDetector:
-    """Probes endpoints that broke connections; one probe for all of them.
+    """Probes an endpoint once for all connections that it broke.
 
     Attributes:
-        endpoints: Tells endpoints that leave or have started again.
-        spawn: Runs a probe that nobody waits for.
+        endpoints: Known endpoints with their states and restarts.
+        spawn: Runs a probe in the background.
         on_crash: Called with each crash, and again with later suspects.
-        suspects: Lost sends by endpoint that a probe is under way for.
-        crashed: When endpoints were found to have crashed.
+        suspects: Lost sends by endpoint, while a probe is in progress.
+        crashed: Boot clock seconds of the first lost send of each crash.
     """
 
     endpoints: endpointset.EndpointSet
@@ -44,7 +44,7 @@
     def on_lost(
         self, endpoint: endpointset.KnownEndpoint, suspect: crashes.Suspect
     ) -> None:
-        """Take a send whose connection broke before the answer was whole."""
+        """Handle a send whose connection broke during the response."""
         key = endpoint_key(endpoint)
         if key in self.crashed:
             LOG.info(
@@ -67,13 +67,13 @@
         endpoint: endpointset.KnownEndpoint,
         lost_at: float,
     ) -> None:
-        """Probe an endpoint and report a crash if it has ended."""
+        """Probe an endpoint and report a crash if its process has ended."""
         await asyncio.sleep(PROBE_DELAY_S)
         listener = await endpointprobe.probe(endpoint.announcement.address)
         lost_sends = self.suspects.pop(key)
         has_crashed = self.has_crashed(endpoint, listener)
         LOG.info(
-            "endpoint crashed" if has_crashed else "endpoint broke off",
+            "endpoint crashed" if has_crashed else "endpoint broke connection",
             endpoint=key.endpoint,
             incarnation=key.incarnation,
             listener=listener.value,
@@ -89,10 +89,10 @@
         endpoint: endpointset.KnownEndpoint,
         listener: endpointprobe.ListenerState,
     ) -> bool:
-        """Return whether an endpoint ended without having said so.
+        """Return whether an endpoint ended without announcing it.
 
-        A start after it proves the end as well, where another process
-        listens at the address already.
+        A later incarnation proves the end as well, even if another process
+        already listens at the address.
         """
         if endpoint.announcement.state is not registry.EndpointState.SERVING:
             return False
@@ -103,7 +103,7 @@
         return listener is endpointprobe.ListenerState.CLOSED
 
     def record_crash(self, key: crashes.EndpointKey, lost_at: float) -> None:
-        """Keep a crash, within a bound."""
+        """Record a crash; drop the oldest one beyond the limit."""
         self.crashed[key] = lost_at
         while len(self.crashed) > MAX_CRASHED:
             del self.crashed[next(iter(self.crashed))]
@@ -111,7 +111,7 @@
     def report(
         self, key: crashes.EndpointKey, lost_sends: list[crashes.Suspect]
     ) -> None:
-        """Report a crash with requests that were in flight at it."""
+        """Report a crash with the requests that were in flight."""
         self.on_crash(
             crashes.Crash(
                 endpoint=key, at=self.crashed[key], suspects=tuple(lost_sends)
@@ -120,7 +120,7 @@
 
 
 def endpoint_key(endpoint: endpointset.KnownEndpoint) -> crashes.EndpointKey:
-    """Return what names the present start of an endpoint."""
+    """Return the key of an endpoint's current incarnation."""
     return crashes.EndpointKey(
         endpoint=endpoint.name, incarnation=endpoint.announcement.incarnation
     )
--- a/src/_coltsfootroad/gateway/crashreporter.py
+++ b/src/_coltsfootroad/gateway/crashreporter.py
@@ -1,4 +1,4 @@
-"""Reports crashes of endpoints to the leader until it has taken them."""
+"""Reports endpoint crashes to the leader until it acknowledges them."""
 
 import asyncio
 import collections
@@ -18,26 +18,27 @@
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("crash")
-# Crashes that are kept for a leader that has to learn of them anew.
+# Crashes that are retained to be reported again to a new leader.
 MAX_KEPT = 256
 RETRY_PAUSE_S = 0.2
 
 
 @attrs.define(eq=False)
 class CrashReporter:
-    """Keeps own reports: what is unsent, and what a new leader may lack.
+    """Stores and sends this gateway's crash reports.
 
     Attributes:
         gateway: Name of the gateway.
-        link: The way to the leader.
-        isolation: Keeps watched suspects apart from each other.
-        kept: All own crashes within the window, by endpoint.
-        unsent: Crashes that the leader has not taken, by endpoint.
-        cleared: Suspects that were answered, not taken by the leader yet.
-        stopped: Sends that the quarantine stopped, not taken by the leader yet.
-        watched: Suspects whose answers the leader wants to know of.
-        sizes: Suspects and watched requests by workspace and length.
-        sending: The task that sends, while anything is unsent.
+        link: Client of the leader.
+        isolation: Sends watched suspects to different endpoints.
+        recent: All own crashes within the time window, by endpoint; a new
+            leader needs them again.
+        unsent: Crashes that the leader has not acknowledged, by endpoint.
+        cleared: Suspects that got a response, not acknowledged yet.
+        stopped: Sends that the quarantine stopped, not acknowledged yet.
+        watched: Suspects whose responses are to be reported to the leader.
+        sizes: Counts suspects and watched requests by workspace and length.
+        sending: The task that sends while reports are unsent.
     """
 
     gateway: str
@@ -52,12 +53,12 @@
     sending: asyncio.Task | None = None
 
     def report(self, crash: crashes.Crash) -> None:
-        """Report a crash, or further suspects of one."""
+        """Report a crash, or further suspects of a known crash."""
         known = self.recent.pop(crash.endpoint, None)
         if known is not None:
             suspects = known.suspects + crash.suspects
-            recent = suspects[-crashrecord.MAX_SUSPECTS :]
-            crash = attrs.evolve(crash, suspects=recent)
+            latest = suspects[-crashrecord.MAX_SUSPECTS :]
+            crash = attrs.evolve(crash, suspects=latest)
         self.recent[crash.endpoint] = crash
         self.unsent[crash.endpoint] = None
         while len(self.recent) > MAX_KEPT:
@@ -74,7 +75,7 @@
         self.start_sending()
 
     def report_again(self) -> None:
-        """Report everything to a leader that may know nothing of it."""
+        """Report all recent crashes to a leader that may not know them."""
         oldest = clocks.boot_time() - crashrecord.WINDOW_S
         self.recent = {
             endpoint: crash
@@ -86,7 +87,7 @@
         self.start_sending()
 
     def watch(self, changes: watching.Changes) -> None:
-        """Take changes of the suspects that all gateways watch for."""
+        """Apply changes of the suspects that all gateways watch."""
         if not (changes.whole or changes.suspected or changes.unsuspected):
             return
         if changes.whole:
@@ -103,11 +104,11 @@
         )
 
     def may_suspect(self, workspace: str, body_bytes: int) -> bool:
-        """Return whether a request of this size may be a suspect."""
+        """Return whether a request of this size can be a suspect."""
         return self.sizes[workspace, body_bytes] > 0 if self.sizes else False
 
     def clear(self, fingerprint: fingerprints.Fingerprint) -> None:
-        """Take back what was reported of a request that was answered."""
+        """Withdraw the suspicion against a request that got a response."""
         is_watched = fingerprint in self.watched
         self.watched.pop(fingerprint, None)
         self.isolation.update(self.watched)
@@ -117,7 +118,7 @@
             self.start_sending()
 
     def forget(self, fingerprint: fingerprints.Fingerprint) -> bool:
-        """Drop a suspect from what is kept; return whether it was there."""
+        """Remove a suspect from recent crashes; return whether it was found."""
         found = False
         for endpoint, crash in list(self.recent.items()):
             left = tuple(
@@ -132,7 +133,7 @@
         return found
 
     def count_sizes(self) -> None:
-        """Count the suspects by size again."""
+        """Recount the suspects by size."""
         self.sizes = collections.Counter(
             quarantine.size_of(suspect.fingerprint)
             for crash in self.recent.values()
@@ -143,24 +144,24 @@
     # --- sending -----------------------------------------------------------
 
     def start_sending(self) -> None:
-        """Begin to send unless that is under way or nothing is unsent."""
+        """Start to send unless that is in progress or nothing is unsent."""
         idle = self.sending is None or self.sending.done()
         if idle and self.has_unsent:
             self.sending = asyncio.ensure_future(self.send())
 
     @property
     def has_unsent(self) -> bool:
-        """Return whether there is anything to report."""
+        """Return whether there are unsent reports."""
         return bool(self.unsent or self.cleared or self.stopped)
 
     async def send(self) -> None:
-        """Send until the leader has taken everything."""
+        """Send until the leader has acknowledged all reports."""
         while self.has_unsent:
             if not await self.send_once():
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def send_once(self) -> bool:
-        """Send what is unsent; return whether the leader has taken it."""
+        """Send the unsent reports; return whether the leader acknowledged."""
         now = clocks.boot_time()
         sent = {endpoint: self.recent[endpoint] for endpoint in self.unsent}
         cleared = tuple(self.cleared)
@@ -197,7 +198,7 @@
         sent: dict[crashes.EndpointKey, crashes.Crash],
         cleared: tuple[fingerprints.Fingerprint, ...],
     ) -> None:
-        """Forget what the leader has taken, unless it has changed since."""
+        """Drop acknowledged reports unless they have changed since."""
         for fingerprint in cleared:
             self.cleared.pop(fingerprint, None)
         for endpoint, crash in sent.items():
@@ -205,6 +206,6 @@
                 self.unsent.pop(endpoint, None)
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stop sending."""
         if self.sending is not None:
             self.sending.cancel()
--- a/src/_coltsfootroad/gateway/dialect.py
+++ b/src/_coltsfootroad/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""How a gateway talks to callers and engines: names and orders."""
+"""The parts of a gateway's protocol that differ between platforms."""
 
 import abc
 
@@ -13,35 +13,35 @@
 
 
 class MemoryRequests(abc.ABC):
-    """Makes the calls that set an engine's memory aside and free it."""
+    """Builds the requests that reserve and release an engine's memory."""
 
     @abc.abstractmethod
     def reserve(
         self, ticket: str, tokens: int, hold_s: float
     ) -> upstream.UpstreamRequest:
-        """Return the order to hold memory for `hold_s`, or to renew that."""
+        """Return the request to reserve memory for `hold_s`, or to renew it."""
 
     @abc.abstractmethod
     def release(self, ticket: str) -> upstream.UpstreamRequest:
-        """Return the order to free what a ticket holds."""
+        """Return the request to release the memory of a ticket."""
 
 
 class DefaultMemoryRequests(MemoryRequests):
-    """The product's own orders, which its stand-in engines take."""
+    """The default memory requests, which the fake engines accept."""
 
     def reserve(self, ticket, tokens, hold_s):
-        """Return a PUT of the ticket."""
+        """Return a PUT request for the ticket."""
         body = {"tokens": tokens, "hold_ms": int(hold_s * MS)}
         return json_request("PUT", f"/v1/memory/{ticket}", body)
 
     def release(self, ticket):
-        """Return a DELETE of the ticket."""
+        """Return a DELETE request for the ticket."""
         return json_request("DELETE", f"/v1/memory/{ticket}", {})
 
 
 @attrs.frozen(kw_only=True)
 class Dialect:
-    """What differs between platforms in the calls of a gateway."""
+    """Header names and memory requests of a platform."""
 
     names: names_lib.HeaderNames = names_lib.HeaderNames()
     memory: MemoryRequests = attrs.Factory(DefaultMemoryRequests)
--- a/src/_coltsfootroad/gateway/directory.py
+++ b/src/_coltsfootroad/gateway/directory.py
@@ -1,4 +1,4 @@
-"""Answers which gateways to use and whether this one is ready."""
+"""Serves gateway addresses, the readiness check and metrics over HTTP."""
 
 import tornado.web
 
@@ -7,10 +7,10 @@
 from _coltsfootroad.core import hashing
 from _coltsfootroad.shell import web
 
-# Callers of a zone are given that zone's gateways, which saves bytes between
-# zones, and where these are fewer than this, some of other zones as well. A
-# gateway that is lost or frozen costs its callers a second for each connection
-# until their answer is renewed: with two gateways, half of a zone.
+# Callers get the gateways of their own zone, which saves traffic between zones.
+# If there are fewer than this, gateways of other zones are added: a lost or
+# frozen gateway costs its callers a second for each connection until they
+# refresh the addresses, and with two gateways, it affects half of a zone.
 MIN_ADDRESSES = 4
 SPREAD_KEY = "directory"
 MAX_ADDRESSES = 64
@@ -20,24 +20,24 @@
 def addresses_for_zone(
     members: tuple[addresses.Member, ...], zone: str
 ) -> tuple[str, ...]:
-    """Return the gateways for callers of a zone out of those in use."""
+    """Return the addresses of gateways for the callers of a zone."""
     local = [m for m in members if m.availability_zone == zone]
     remote = [m for m in members if m.availability_zone != zone]
-    # Zones that need others choose different ones.
+    # Zones that need remote gateways choose different ones.
     remote.sort(key=lambda m: hashing.stable_hash(m.entry, SPREAD_KEY + zone))
     chosen = local + remote[: max(0, MIN_ADDRESSES - len(local))]
     return tuple(member.address for member in chosen[:MAX_ADDRESSES])
 
 
 class AddressHandler(web.Handler):
-    """Names the gateways that a caller may use."""
+    """Serves the addresses of the gateways that a caller may use."""
 
     def initialize(self, gateway):
-        """Keep the gateway."""
+        """Store the gateway."""
         self.gateway = gateway
 
     def get(self):
-        """Answer with addresses and how long they may be kept."""
+        """Respond with addresses and how long they may be cached."""
         found = addresses_for_zone(
             self.gateway.view.rotation.current(),
             self.get_query_argument("zone", ""),
@@ -60,36 +60,36 @@
 
 
 class ReadyHandler(web.Handler):
-    """Says whether the gateway takes requests."""
+    """Serves the readiness check."""
 
     def initialize(self, gateway):
-        """Keep the gateway."""
+        """Store the gateway."""
         self.gateway = gateway
 
     def get(self):
-        """Answer 200 while requests are served, else 503."""
-        # Not being ready is an ordinary answer, no fault to be logged.
+        """Respond with 200 while requests are accepted, else 503."""
+        # A 503 is an expected response here and must not be logged as an error.
         ready = self.gateway.is_ready()
         self.set_status(200 if ready else 503)
         self.finish({"ready": ready, "version": self.gateway.view.version})
 
 
 def directory_app(gateway) -> tornado.web.Application:
-    """Return the application that names gateways."""
+    """Return the application that serves gateway addresses."""
     return tornado.web.Application(
         [(r"/v1/addresses", AddressHandler, {"gateway": gateway})]
     )
 
 
 def ready_app(gateway) -> tornado.web.Application:
-    """Return the application that tells readiness."""
+    """Return the application that serves the readiness check."""
     return tornado.web.Application(
         [(r"/v1/ready", ReadyHandler, {"gateway": gateway})]
     )
 
 
 def metrics_app(metrics) -> tornado.web.Application:
-    """Return the application that shows metrics."""
+    """Return the application that serves metrics."""
     return tornado.web.Application(
         [(r"/metrics", web.MetricsHandler, {"metrics": metrics})]
     )
--- a/src/_coltsfootroad/gateway/endpointprobe.py
+++ b/src/_coltsfootroad/gateway/endpointprobe.py
@@ -1,4 +1,4 @@
-"""Tells an endpoint that has ended from one that only broke a connection."""
+"""Probes whether an endpoint has ended or only broke a connection."""
 
 import asyncio
 import enum
@@ -6,22 +6,22 @@
 
 from _coltsfootroad.shell import settings as settings_lib
 
-# A listener of the same zone answers within 2 ms; one that does not answer is
-# cut off or has lost power.
+# A listener in the same zone accepts within 2 ms; one that does not respond is
+# unreachable or has lost power.
 PROBE_TIMEOUT_S = 0.4
 
 
 class ListenerState(enum.Enum):
-    """What a connection attempt shows of an endpoint's process."""
+    """State of an endpoint's listener as seen by a connection attempt."""
 
     OPEN = "open"
-    # Its VM answers that no process listens at the port.
+    # The VM refuses the connection: no process listens on the port.
     CLOSED = "closed"
     SILENT = "silent"
 
 
 async def probe(address: str) -> ListenerState:
-    """Connect to an endpoint and close the connection at once."""
+    """Connect to an endpoint and close the connection immediately."""
     loop = asyncio.get_running_loop()
     raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     raw.setblocking(False)
--- a/src/_coltsfootroad/gateway/engines.py
+++ b/src/_coltsfootroad/gateway/engines.py
@@ -1,4 +1,4 @@
-"""Chooses endpoints for requests from what all gateways have sent."""
+"""Chooses endpoints for requests by the in-flight work of all gateways."""
 
 import random
 
@@ -18,7 +18,18 @@
 
 @attrs.frozen(kw_only=True)
 class Choice:
-    """Where a request goes, and what decided it."""
+    """The endpoints chosen for a request, and the inputs of the choice.
+
+    Attributes:
+        endpoint: The endpoint that gets the request.
+        helpers: Engines that prefill parts of the prompt.
+        shares: Memory to reserve before the request is sent.
+        predicted_s: Predicted time to the first event.
+        cost: Cost of the placement, lower is better.
+        load: Work items in flight at the endpoint.
+        late_waiting: Requests of the service that wait past their target.
+        places: Batch slots of all endpoints of the service.
+    """
 
     endpoint: endpointset.KnownEndpoint
     helpers: tuple[endpointset.KnownEndpoint, ...] = ()
@@ -32,7 +43,7 @@
 
 @attrs.define
 class Chooser:
-    """Picks an endpoint of a service for one request."""
+    """Chooses an endpoint of a service for one request."""
 
     endpoints: endpointset.EndpointSet
     load: workload.Workload
@@ -55,9 +66,9 @@
         now: float,
         suspect: fingerprints.Fingerprint | None = None,
     ) -> Choice | None:
-        """Return the best endpoint, one not in `avoid` if there is any.
+        """Return the best endpoint, preferring those not in `avoid`.
 
-        A suspect of crashes goes where no other one is sent.
+        A request suspected of crashes gets an endpoint without other suspects.
         """
         self.load.expire(now)
         known = self.endpoints.of_service(spec.name)
@@ -71,7 +82,7 @@
         return self.place_prompt(spec, prompt, drawn, now)
 
     def least_loaded(self, drawn: list[endpointset.KnownEndpoint]) -> Choice:
-        """Return the endpoint with the least work; the first of equal ones."""
+        """Return the endpoint with the least work, the first one on a tie."""
         loads = [len(self.book.works_at(known)) for known in drawn]
         least = min(loads)
         return Choice(endpoint=drawn[loads.index(least)], load=least)
@@ -83,10 +94,10 @@
         drawn: list[endpointset.KnownEndpoint],
         now: float,
     ) -> Choice | None:
-        """Return the cheapest engines for a prompt."""
+        """Return the engines with the lowest cost for a prompt."""
         engine = spec.engine
-        long = spread.may_split(prompt)
-        places = self.limits.long if long else self.limits.short
+        is_long = spread.may_split(prompt)
+        places = self.limits.long if is_long else self.limits.short
         picked = candidates.pick(
             drawn,
             self.load.index,
@@ -117,7 +128,7 @@
         )
 
     def late_waiting(self, service: str) -> int:
-        """Return how many requests wait late at a service's endpoints."""
+        """Return how many of a service's requests wait past their target."""
         return sum(
             len(keys)
             for name, keys in self.load.index.late.items()
@@ -130,6 +141,6 @@
         engine: routes.EngineSpec,
         now: float,
     ) -> float:
-        """Return for how long an engine is known to read prompts still."""
+        """Return the known remaining prefill time of an engine."""
         works = self.load.at_endpoint(known.name)
         return enginestate.reading_left_s(works, engine, now)
--- a/src/_coltsfootroad/gateway/exchange.py
+++ b/src/_coltsfootroad/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller: from its head to its final answer."""
+"""Serves one caller's request, from its headers to its final response."""
 
 import asyncio
 
@@ -29,25 +29,34 @@
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("request")
-# A send with less time than this cannot come back in time.
+# With less time left than this, no response can arrive before the deadline.
 MIN_REMAINING_TO_SEND_S = 0.02
 MIN_SERVER_ERROR_STATUS = 500
-# No endpoint could be reached: one that restarts announces itself within a
-# second, and callers come back only once.
+# Stated when no endpoint is reachable: a restarted endpoint announces itself
+# within a second, and callers retry only once.
 NO_ENDPOINT_RETRY_AFTER_S = 0.2
-# Pause before memory is asked for again, drawn so that two long prompts
-# that met at the same engines do not meet again.
+# Range of the random pause before memory is requested again, so that two long
+# prompts that competed for the same engines do not collide a second time.
 MEMORY_RETRY_PAUSE_S = (0.05, 0.2)
 
 
 @attrs.define(eq=False)
 class Exchange:
-    """Serves one request; every way out sends one final answer or closes.
+    """Serves one request; every path sends one response or closes.
 
     Attributes:
-        gateway: The gateway that serves it.
+        gateway: The gateway that serves the request.
         connection: The caller's connection.
-        request: What the caller sent.
+        request: The request as received.
+        request_id: Request ID from the caller's headers, may be empty.
+        admitted: The request's route and limits, None before admission.
+        sends: Counts the sends to endpoints, None before admission.
+        error_response: The last complete 5xx response of an endpoint.
+        reservation: Memory that is reserved for the current send.
+        guard: Applies the quarantine to the request.
+        budget: Charges retries to the service's retry budget.
+        work: Reports the current send as load.
+        reply: Writes to the caller's connection.
     """
 
     gateway: object
@@ -79,12 +88,12 @@
 
     @property
     def ticket(self) -> str:
-        """Return the ticket of the present send, empty if it has none."""
+        """Return the ticket of the current send's memory, empty for none."""
         return self.reservation.ticket if self.reservation is not None else ""
 
     @property
     def names(self) -> names_lib.HeaderNames:
-        """Return the header names in use."""
+        """Return the names of the HTTP headers."""
         return self.gateway.dialect.names
 
     @property
@@ -94,21 +103,21 @@
 
     @property
     def service(self) -> routes.ServiceSpec:
-        """Return the service that the admitted request goes to."""
+        """Return the service that the admitted request is routed to."""
         return self.admitted.service
 
     def prompt_tokens(self) -> int:
-        """Return the length of the prompt, 0 for plain requests."""
+        """Return the prompt's length in tokens, 0 for plain requests."""
         prompt = self.admitted.prompt
         return prompt.prompt_tokens if prompt is not None else 0
 
     @property
     def deadline(self) -> float:
-        """Return the boot clock seconds by which it must be answered."""
+        """Return the deadline in seconds of the boot clock."""
         return self.admitted.deadline
 
     async def run(self) -> None:
-        """Serve the request until its final answer."""
+        """Serve the request until its final response is written."""
         start_up = self.gateway.start_up
         arrived_at = self.request.arrived_at
         stated_timeout_s = self.request.stated_timeout_s(self.names)
@@ -142,9 +151,10 @@
             self.budget.release()
 
     def has_room(self) -> bool:
-        """Return whether an endpoint is known that serves it without a queue.
+        """Return whether a known endpoint can serve the request in time.
 
-        What has been waited already does not count: more of it helps nobody.
+        The time that the request has waited so far is not counted, as waiting
+        longer cannot make up for it.
         """
         if not self.gateway.start_up.knows_first_endpoints():
             return False
@@ -163,7 +173,7 @@
     # --- attempts --------------------------------------------------------
 
     async def attempt_until_done(self) -> None:
-        """Send to endpoints until one answers or none may be tried."""
+        """Send until an endpoint responds or no further send is allowed."""
         while True:
             if await self.guard.refuse():
                 return
@@ -175,7 +185,7 @@
                     reason or "no endpoint serves the request now"
                 )
                 return
-            retry_after_s = self.shed_retry_after_s(choice)
+            retry_after_s = self.shed_delay_s(choice)
             if retry_after_s is not None:
                 self.shed(choice, retry_after_s)
                 return
@@ -196,12 +206,12 @@
                 return
 
     def rank(self, choice: engines.Choice, now: float) -> int:
-        """Return the rank of a send at its engine."""
+        """Return the rank of a send in its engine's queue."""
         waited_s = now - self.request.arrived_at
         return urgency.of(self.route, waited_s, choice.predicted_s)
 
-    def shed_retry_after_s(self, choice: engines.Choice) -> float | None:
-        """Return when to come back if the request is not to be sent now."""
+    def shed_delay_s(self, choice: engines.Choice) -> float | None:
+        """Return the retry delay if the request is to be shed, else None."""
         prompt = self.admitted.prompt
         if prompt is None or self.sends.count:
             return None
@@ -216,7 +226,7 @@
         )
 
     def choose(self, now: float) -> engines.Choice | None:
-        """Return where to send next, None if that is nowhere."""
+        """Return the endpoints for the next send, None if there are none."""
         return self.gateway.chooser.choose(
             self.service,
             self.admitted.prompt,
@@ -226,7 +236,7 @@
         )
 
     def cannot_send_reason(self, now: float) -> str:
-        """Return why nothing may be sent now, empty if something may."""
+        """Return why nothing may be sent now, empty if sending is allowed."""
         view = self.gateway.view
         if not view.is_current(now):
             return f"routes were proved current {view.age_s(now):.1f} s ago"
@@ -240,10 +250,10 @@
         pool: upstream.EndpointPool,
         sink: responses.BufferedResponse,
     ) -> upstream.CallEnd:
-        """Send, and turn to another endpoint while the caller still waits.
+        """Send, and stop if the endpoint is silent and another can be tried.
 
-        An endpoint may fall silent without a reset. Where nothing else may
-        be tried, its silence is waited out until the deadline.
+        An endpoint may stop responding without a TCP reset. If no other
+        endpoint may be tried, the send waits until the deadline.
         """
         request = forwarding.upstream_request(self, choice, clocks.boot_time())
         watchdog = watchdog_lib.Watchdog(self, choice)
@@ -265,10 +275,10 @@
             watchdog.stop()
 
     def reserve_switch(self) -> bool:
-        """Return whether another endpoint takes over from a silent one.
+        """Reserve a retry on another endpoint; return whether that succeeded.
 
-        The retry is reserved at once: a send that is given up without one
-        would cut off an answer that may only be slow.
+        The retry is reserved before the current send is cancelled. Without
+        it, cancelling would lose a response that may only be slow.
         """
         if self.guard.on_trial or not self.sends.may_switch():
             return False
@@ -278,14 +288,14 @@
         return self.budget.reserve(now)
 
     def has_untried_endpoint(self, now: float) -> bool:
-        """Return whether an endpoint is left that it was not sent to."""
+        """Return whether an endpoint is left that was not tried."""
         choice = self.choose(now)
         return (
             choice is not None and choice.endpoint.name not in self.sends.tried
         )
 
     async def reserve(self, choice: engines.Choice) -> bool:
-        """Set memory aside for a prompt above one engine's memory."""
+        """Reserve memory for a prompt that exceeds one engine's memory."""
         self.reservation = memoryreservation.MemoryReservation(
             self.gateway,
             self.request_id,
@@ -298,13 +308,13 @@
         return granted
 
     def release_reservation(self) -> None:
-        """Free the memory that was set aside, without waiting for it."""
+        """Release the reserved memory in the background."""
         if self.reservation is not None:
             self.gateway.spawn(self.reservation.release())
             self.reservation = None
 
     def stop_reason(self, outcome: sends_lib.Outcome) -> str:
-        """Return why nothing more is sent, empty to go on."""
+        """Return why no further send is allowed, empty if one is."""
         reason = self.sends.stop_reason(outcome)
         if self.guard.on_trial and self.sends.runs:
             return "its trial has ended"
@@ -317,7 +327,7 @@
         )
 
     async def attempt(self, choice: engines.Choice) -> sends_lib.Outcome:
-        """Send to one endpoint and judge what came of it."""
+        """Send to one endpoint and return the outcome."""
         now = clocks.boot_time()
         endpoint = choice.endpoint
         self.sends.tried.add(endpoint.name)
@@ -381,7 +391,7 @@
         return outcome
 
     def make_sink(self) -> responses.BufferedResponse:
-        """Return what takes the answer."""
+        """Return the sink for an endpoint's response."""
         if self.route.kind is routes.RequestKind.STREAM:
             return responses.StreamedResponse(
                 self.names, self.request_id, reply=self.reply
@@ -391,14 +401,16 @@
     def classify_outcome(
         self, end: upstream.CallEnd, sink: responses.BufferedResponse
     ) -> sends_lib.Outcome:
-        """Return what a send came to."""
+        """Return the outcome of a send."""
         if end is upstream.CallEnd.NOT_SENT:
             return sends_lib.Outcome.NOT_RUN
         if sink.genuine and sink.proves_not_run():
             return sends_lib.Outcome.NOT_RUN
         self.sends.runs += 1
-        whole = end is upstream.CallEnd.COMPLETE and sink.is_body_complete()
-        if not whole or not sink.genuine:
+        is_complete = (
+            end is upstream.CallEnd.COMPLETE and sink.is_body_complete()
+        )
+        if not is_complete or not sink.genuine:
             return sends_lib.Outcome.LOST
         if sink.status >= MIN_SERVER_ERROR_STATUS and self.route.idempotent:
             self.error_response = sink
@@ -406,12 +418,12 @@
         return sends_lib.Outcome.ANSWERED
 
     def send_final_failure(self, reason: str) -> None:
-        """Send the final failure; "not run" only when it is proved."""
+        """Send the final failure, as "not run" only if that is proven."""
         if self.reply.streaming:
             self.reply.abort_stream(reason)
         elif self.error_response is not None:
             LOG.info(
-                "endpoint's failure passed on",
+                "endpoint's error response forwarded",
                 request=self.request_id,
                 status=self.error_response.status,
                 reason=reason,
@@ -435,7 +447,7 @@
             )
 
     def shed(self, choice: engines.Choice, retry_after_s: float) -> None:
-        """Refuse what would only lengthen a queue, before it is sent."""
+        """Refuse a request that would only lengthen a queue."""
         self.refuse(
             admission.refusal(
                 errors.ErrorCode.QUEUE_FULL,
@@ -447,17 +459,17 @@
         )
 
     def refuse(self, failure: errors.Failure) -> None:
-        """Answer with a failure of our own."""
+        """Respond with a failure that the gateway itself reports."""
         self.reply.refuse(failure, self.route.name)
 
     def record_event(self) -> None:
-        """Note that an event came: reading is over, a pause has ended."""
+        """Record an event: prefill is complete, or a pause has ended."""
         now = clocks.boot_time()
         if self.work.record_event(now - self.reply.last_event_at):
             self.gateway.record_first_event(now - self.request.arrived_at)
 
     def on_deadline(self) -> None:
-        """Answer a request whose time is over."""
+        """Respond to a request whose deadline has passed."""
         if self.reply.streaming:
             self.reply.abort_stream("the time is over")
             return
--- a/src/_coltsfootroad/gateway/forwarding.py
+++ b/src/_coltsfootroad/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Makes the request that an endpoint gets from the one that came in."""
+"""Builds the upstream request from the caller's request."""
 
 from tornado import httputil
 
@@ -13,14 +13,14 @@
 def upstream_request(
     exchange, choice: engines.Choice, now: float
 ) -> upstream.UpstreamRequest:
-    """Return the request as the endpoint gets it."""
+    """Return the request to send to the chosen endpoint."""
     names = exchange.names
     headers = httputil.HTTPHeaders()
-    hidden = names.overridden() | names_lib.HOP_BY_HOP | {"content-length"}
+    excluded = names.overridden() | names_lib.HOP_BY_HOP | {"content-length"}
     for name, value in exchange.request.headers.get_all():
-        if name.lower() not in hidden:
+        if name.lower() not in excluded:
             headers.add(name, value)
-    # What the caller named as hop-by-hop ends here as well.
+    # Headers that the caller lists in Connection are hop-by-hop as well.
     for name in exchange.request.headers.get("Connection", "").split(","):
         if name.strip() and name.strip() in headers:
             del headers[name.strip()]
@@ -46,7 +46,7 @@
 
 
 def helper_words(choice: engines.Choice, ticket: str) -> list[str]:
-    """Return the helpers, each with the ticket that it holds memory by."""
+    """Return the helpers' addresses, with the ticket of reserved memory."""
     holding = {share.endpoint.name for share in choice.shares}
     words = []
     for known in choice.helpers:
--- a/src/_coltsfootroad/gateway/front.py
+++ b/src/_coltsfootroad/gateway/front.py
@@ -1,4 +1,4 @@
-"""The listener for callers: tornado parses, an exchange serves."""
+"""Listens for callers' requests and serves each with an `Exchange`."""
 
 import asyncio
 import traceback
@@ -17,16 +17,16 @@
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("front")
-# Idle connections are kept longer than callers may use them, so that a
-# close does not cross with a request.
+# Idle connections are kept open for longer than callers may reuse them, so that
+# no request is sent on a connection that is being closed.
 IDLE_MARGIN_S = 5.0
-# A stopping gateway gives a request on a kept connection this time to
-# arrive before it closes the connection.
+# A stopping gateway waits this long for requests in transit on idle
+# connections before they are closed.
 CLOSE_IDLE_AFTER_S = 0.05
 
 
 class RequestReader(httputil.HTTPMessageDelegate):
-    """Collects one request and hands it to an exchange."""
+    """Reads one request and starts its exchange."""
 
     def __init__(self, gateway, connection):
         self.gateway = gateway
@@ -38,17 +38,17 @@
         self.task: asyncio.Task | None = None
 
     def headers_received(self, start_line, headers):
-        """Take the head."""
+        """Receive the headers."""
         self.start = start_line
         self.headers = headers
         self.arrived_at = clocks.boot_time()
 
     def data_received(self, chunk):
-        """Take a piece of the body."""
+        """Receive a chunk of the body."""
         self.parts.append(chunk)
 
     def finish(self):
-        """Serve the request now that it is whole."""
+        """Start to serve the complete request."""
         request = admission.CallerRequest(
             self.start, self.headers, b"".join(self.parts), self.arrived_at
         )
@@ -59,12 +59,12 @@
         self.task.add_done_callback(lambda task: self.on_done(exchange, task))
 
     def on_caller_gone(self):
-        """Stop whatever runs for a caller that has gone."""
+        """Cancel the exchange because the caller has disconnected."""
         if self.task is not None and not self.task.done():
             self.task.cancel()
 
     def on_done(self, exchange, task: asyncio.Task) -> None:
-        """Take the end of an exchange; a fault of ours ends in a log."""
+        """Handle the end of an exchange; log its exception if there is one."""
         self.gateway.running.discard(exchange)
         if task.cancelled():
             LOG.info(
@@ -76,22 +76,22 @@
             self.gateway.record_failure(errors.ErrorCode.CALLER_GONE.value)
             self.connection.close()
             return
-        fault = task.exception()
-        if fault is not None:
+        error = task.exception()
+        if error is not None:
             LOG.error(
                 "exchange failed",
                 request=exchange.request_id,
-                fault="".join(traceback.format_exception(fault)),
+                fault="".join(traceback.format_exception(error)),
             )
             self.connection.close()
 
     def on_connection_close(self):
-        """Stop whatever runs for a caller that has gone."""
+        """Cancel the exchange because the caller has disconnected."""
         self.on_caller_gone()
 
 
 class FrontServer(httpserver.HTTPServer):
-    """Sets socket options on each connection that is accepted."""
+    """Sets socket options on accepted connections."""
 
     def handle_stream(self, stream, address):
         """Serve a new connection."""
@@ -101,18 +101,18 @@
 
 
 class Front(httputil.HTTPServerConnectionDelegate):
-    """Makes a reader for each request and knows all connections."""
+    """Owns the HTTP server and creates a reader for each request."""
 
     def __init__(self, gateway):
         self.gateway = gateway
         self.server: FrontServer | None = None
 
     def start_request(self, server_conn, request_conn):
-        """Return what reads the next request of a connection."""
+        """Return a reader for the next request of a connection."""
         return RequestReader(self.gateway, request_conn)
 
     def on_close(self, server_conn):
-        """Take the end of a connection."""
+        """Ignore the end of a connection; its reader handles it."""
 
     def listen(self, address: str) -> None:
         """Open the listener."""
@@ -128,14 +128,14 @@
             self.server.add_sockets([early.take(address)])
 
     def apply(self, limits: routes.CallerLimits) -> None:
-        """Put a version's limits in force for new connections."""
+        """Apply limits to new connections."""
         parameters = self.server.conn_params
         parameters.max_header_size = limits.header_bytes
         parameters.max_body_size = limits.body_bytes
         parameters.header_timeout = limits.idle_timeout_s + IDLE_MARGIN_S
 
     async def close(self) -> None:
-        """Stop listening and close what is idle."""
+        """Stop listening and wait briefly for requests in transit."""
         if self.server is not None:
             self.server.stop()
             await asyncio.sleep(CLOSE_IDLE_AFTER_S)
--- a/src/_coltsfootroad/gateway/gossip.py
+++ b/src/_coltsfootroad/gateway/gossip.py
@@ -1,10 +1,10 @@
-"""Tells other gateways by datagram what this one has sent where.
+"""Exchanges summaries of in-flight work between gateways by UDP.
 
-A datagram holds what has changed; all of the sender's work follows now and
-then while there is any, which heals whatever a lost datagram left out. Only
-gateways that callers are sent to are told, and those that were heard to have
-prompts all the same. One copy goes to each other availability zone, where its
-receiver passes it on.
+A summary holds the changes since the last one. While there is work, a full
+summary follows periodically, which corrects the effect of lost datagrams.
+Receivers are the gateways that are advertised to callers, and any other
+gateway that is known to have prompts in flight. One copy goes to each other
+availability zone, where its receiver forwards it.
 """
 
 import asyncio
@@ -22,24 +22,24 @@
 from _coltsfootroad.shell import traffic
 
 LOG = logs.logger("gossip")
-# Changes within this time share a datagram: below the millisecond that a
-# datagram takes between zones, and well below a pass of an engine.
+# Changes within this time share a datagram. It is on the order of the 1 ms that
+# a datagram takes between zones, and well below one step of an engine.
 COALESCE_S = 0.002
-# The end of work, its first event, and calls to plain services may be told
-# later: a choice that counts it for this long more is hardly a worse one, and
-# two datagrams in three are saved. A call that is over by then is not told.
+# The same for the end of work, its first event, and calls to plain services:
+# counting work for this much longer hardly affects the choice of endpoints, and
+# it saves two datagrams in three. A call that ends earlier is not sent at all.
 LAZY_COALESCE_S = 0.025
-# All work is sent this often, so that receivers can tell a quiet sender from
-# a dead one within `workload.BELIEF_S`.
+# Full summaries are sent this often, so that receivers can distinguish an idle
+# sender from a dead one within `workload.BELIEF_S`.
 FULL_SUMMARY_INTERVAL_S = 0.8
-# Most changes of one datagram: 60 bytes each, 65,000 in all.
+# Limit of changes in a datagram: 60 bytes each, 65,000 bytes in all.
 MAX_CHANGES = 800
-# How datagrams are counted.
+# Traffic counter of the datagrams.
 SUMMARY_KIND = "Summary"
 
 
 class WireChange(msgspec.Struct, array_like=True):
-    """A change as a list, its fields in the order of `workload.Change`."""
+    """A change, encoded as a list in the field order of `workload.Change`."""
 
     key: int
     endpoint: str
@@ -56,14 +56,14 @@
 
 
 class WireSummary(msgspec.Struct, array_like=True):
-    """A summary as a list of values; each change is a list as well."""
+    """A summary, encoded as a list; each change is a list as well."""
 
     gateway: str
     incarnation: int
     seq: int
     full: bool
     changes: tuple[WireChange, ...]
-    # Whether the receiver is to send it on to the others of its zone.
+    # Whether the receiver forwards it to the other gateways of its zone.
     pass_on: bool = False
 
 
@@ -72,7 +72,7 @@
 
 
 def to_wire(summary: workload.Summary) -> WireSummary:
-    """Return a summary in the form in which it is sent."""
+    """Return the wire form of a summary."""
     return WireSummary(
         summary.gateway,
         summary.incarnation,
@@ -83,7 +83,7 @@
 
 
 def encode(summary: workload.Summary) -> bytes:
-    """Return the bytes of a summary."""
+    """Return the encoded bytes of a summary."""
     return ENCODER.encode(to_wire(summary))
 
 
@@ -93,7 +93,7 @@
 
 
 def from_wire(wire: WireSummary) -> workload.Summary:
-    """Return a summary from the form in which it came."""
+    """Return a summary from its wire form."""
     return workload.Summary(
         gateway=wire.gateway,
         incarnation=wire.incarnation,
@@ -107,13 +107,13 @@
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Sends own summaries and takes those of others."""
+    """Sends summaries of own work and applies those of other gateways."""
 
     def __init__(self, gateway):
         self.gateway = gateway
         self.transport = None
         self.seq = 0
-        # Draws anew who passes on in other zones, with each full summary.
+        # Changes the forwarding gateways of other zones with each full summary.
         self.fanout_round = 0
         self.send_timer: asyncio.TimerHandle | None = None
         self.last_full_at = 0.0
@@ -129,11 +129,11 @@
             )
 
     def connection_made(self, transport):
-        """Keep the socket."""
+        """Store the transport."""
         self.transport = transport
 
     def datagram_received(self, data, addr):
-        """Take another gateway's summary."""
+        """Apply another gateway's summary."""
         traffic.received(SUMMARY_KIND, len(data))
         try:
             wire = DECODER.decode(data)
@@ -148,11 +148,11 @@
         self.gateway.load.take(from_wire(wire), clocks.boot_time())
 
     def error_received(self, exc):
-        """Note that a datagram could not be delivered."""
+        """Log that a datagram could not be delivered."""
         LOG.debug("datagram not delivered", fault=str(exc))
 
     def schedule_send(self, delay_s: float) -> None:
-        """Send soon; what changes until then goes along."""
+        """Schedule a summary of the changes made until it is sent."""
         loop = asyncio.get_running_loop()
         due = loop.time() + delay_s
         if self.send_timer is not None:
@@ -162,32 +162,32 @@
         self.send_timer = loop.call_at(due, self.send)
 
     def refresh(self) -> None:
-        """Send everything if that was not done for a while."""
+        """Send a full summary if one is due."""
         now = clocks.boot_time()
         if now - self.last_full_at < FULL_SUMMARY_INTERVAL_S:
             return
         self.last_full_at = now
         count = len(self.gateway.load.own)
-        # Having nothing is told once, in case the last end was lost.
+        # An empty summary is sent once, in case the last datagram was lost.
         if count or self.last_full_count:
             self.send_summary(full=True)
         self.last_full_count = count
 
     def send(self) -> None:
-        """Send what has changed."""
+        """Send a summary of the changes."""
         self.send_timer = None
         if self.gateway.load.changed:
             self.send_summary(full=False)
 
     def send_summary(self, full: bool) -> None:
-        """Send a summary to the gateways that choose endpoints now."""
+        """Send a summary to the gateways that currently choose endpoints."""
         if self.transport is None or self.transport.is_closing():
             return
         self.seq += 1
         settings = self.gateway.settings
         changes = self.gateway.load.take_changes(full, clocks.boot_time())
         if len(changes) > MAX_CHANGES:
-            LOG.warning("summary cut", changes=len(changes))
+            LOG.warning("summary truncated", changes=len(changes))
         wire = to_wire(
             workload.Summary(
                 gateway=settings.gateway,
@@ -205,23 +205,23 @@
             self.fanout_round,
         )
         for pass_on in (False, True):
-            to = [copy.to for copy in copies if copy.pass_on is pass_on]
+            receivers = [copy.to for copy in copies if copy.pass_on is pass_on]
             wire.pass_on = pass_on
-            self.send_to(to, wire)
+            self.send_to(receivers, wire)
 
     def pass_on(self, wire: WireSummary) -> None:
-        """Send another zone's summary to the others of this zone."""
+        """Forward another zone's summary to the other gateways of this zone."""
         zone = self.gateway.settings.availability_zone
-        to = [
+        receivers = [
             member
             for member in self.receivers()
             if member.availability_zone == zone and member.entry != wire.gateway
         ]
         wire.pass_on = False
-        self.send_to(to, wire)
+        self.send_to(receivers, wire)
 
     def send_to(self, members: list[addresses.Member], wire: WireSummary):
-        """Send one datagram to each of some gateways."""
+        """Send one datagram to each of the gateways."""
         if not members:
             return
         data = ENCODER.encode(wire)
@@ -231,15 +231,15 @@
             self.transport.sendto(data, address)
 
     def receivers(self) -> list[addresses.Member]:
-        """Return the gateways that are told."""
+        """Return the gateways that receive summaries."""
         view = self.gateway.view
-        told = {member.entry for member in view.rotation.current()}
-        told |= self.gateway.load.with_prompts()
-        told.discard(self.gateway.settings.gateway)
+        names = {member.entry for member in view.rotation.current()}
+        names |= self.gateway.load.with_prompts()
+        names.discard(self.gateway.settings.gateway)
         return [
             member
             for name, member in view.members.items()
-            if name in told and member.peer_address
+            if name in names and member.peer_address
         ]
 
     def close(self) -> None:
--- a/src/_coltsfootroad/gateway/health.py
+++ b/src/_coltsfootroad/gateway/health.py
@@ -1,4 +1,4 @@
-"""Tells the endpoint set how the endpoints of a send did."""
+"""Updates the health of endpoints after a send."""
 
 from _coltsfootroad.core import endpointset
 from _coltsfootroad.core import sends
@@ -21,18 +21,18 @@
     sink: responses.BufferedResponse,
     now: float,
 ) -> None:
-    """Note what a send says of the endpoints that took part."""
+    """Record the outcome of a send for the endpoints that took part."""
     name = choice.endpoint.name
     if end is upstream.CallEnd.STOPPED:
-        # The gateway's own doing says nothing of an endpoint.
+        # The gateway itself stopped the send; the endpoint is not at fault.
         return
     if not endpoints.is_current(choice.endpoint):
-        # What an earlier start did says nothing of the present one.
+        # The outcome of an earlier incarnation does not apply to this one.
         return
     misdirected = sink.genuine and sink.status == responses.MISDIRECTED
     if misdirected and not choice.helpers:
         endpoints.bury(name, choice.endpoint.announcement.incarnation)
-        LOG.info("endpoint is another now", endpoint=name)
+        LOG.info("address belongs to another endpoint", endpoint=name)
     elif outcome in FAILURES:
         for failed in failed_endpoints(choice, sink, sink.names):
             unreachable = end is upstream.CallEnd.NOT_SENT
@@ -55,7 +55,7 @@
     sink: responses.BufferedResponse,
     names: names_lib.HeaderNames,
 ) -> list[str]:
-    """Return the helper that the answer names as faulty, else the first."""
+    """Return the helper that the response names as faulty, else the lead."""
     address = sink.headers.get(names.faulty_peer, "")
     faulty = [
         known.name
--- a/src/_coltsfootroad/gateway/leaderlink.py
+++ b/src/_coltsfootroad/gateway/leaderlink.py
@@ -1,27 +1,27 @@
-"""Calls from a gateway to the leader, wherever it is."""
+"""Calls from a gateway to the current leader of the control plane."""
 
 from _coltsfootroad.control import outcomes
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("leader-link")
-# The process that the gateway watches, the leader that it names, and two more
-# for a leader that has just changed.
+# The polled process, the leader that it names, and two more after a change of
+# the leader.
 MAX_ATTEMPTS = 4
 CALL_TIMEOUT_S = 0.5
 
 
 class LeaderLink:
-    """Finds the leader by way of the processes that the gateway knows."""
+    """Finds and calls the leader, following redirects from known processes."""
 
     def __init__(self, gateway):
         self.gateway = gateway
         self.leader = ""
 
     async def call(self, message: object) -> object | None:
-        """Return the leader's answer, None if it gave none in time."""
+        """Return the leader's reply, None if there is none in time."""
         watch = self.gateway.watch
         address = self.leader or watch.choice.current
-        reason = "no process of control is known"
+        reason = "no control process is known"
         for _ in range(MAX_ATTEMPTS):
             address = address or self.random_seed_address()
             if not address:
@@ -31,7 +31,7 @@
                 reason = f"{address}: {answer.error}"
                 address = ""
             elif isinstance(answer.ok, outcomes.NotLeader):
-                reason = f"{address} does not lead"
+                reason = f"{address} is not the leader"
                 hint = answer.ok.hint
                 address = hint if hint != address else ""
             else:
@@ -44,6 +44,6 @@
         return None
 
     def random_seed_address(self) -> str:
-        """Return one of the processes that may know the leader."""
+        """Return the address of a random control process, empty for none."""
         seeds = self.gateway.watch.choice.seeds
         return self.gateway.rng.choice(seeds) if seeds else ""
--- a/src/_coltsfootroad/gateway/memoryreservation.py
+++ b/src/_coltsfootroad/gateway/memoryreservation.py
@@ -1,9 +1,9 @@
-"""Sets memory aside on several engines for one long prompt.
+"""Reserves memory on several engines for one long prompt.
 
-All tickets are asked for at once and none is waited for while another is
-held, so two long prompts cannot block each other. Each ticket is a short
-lease that is renewed while its request runs: an engine gets its memory back
-by itself when this gateway dies.
+All reservations are requested at once, and all are released if one is refused.
+No reservation is held while waiting for another, so two long prompts cannot
+deadlock. Each reservation is a short lease that is renewed while the request
+runs, so an engine's memory becomes free by itself if this gateway dies.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("tickets")
-# Engines count the lease from its arrival. Three seconds outlast two lost
-# renewals, and end before memory that nobody uses counts as lost.
+# Engines count the lease from the arrival of its request. It outlasts two lost
+# renewals, and ends before unused memory counts as leaked.
 LEASE_S = 3.0
 RENEW_INTERVAL_S = 1.0
 REQUEST_TIMEOUT_S = 0.5
@@ -25,30 +25,30 @@
 
 @attrs.frozen(kw_only=True)
 class MemoryShare:
-    """Tokens of a prompt that one engine is to hold."""
+    """The tokens of a prompt for which one engine reserves memory."""
 
     endpoint: endpointset.KnownEndpoint
     tokens: int
 
 
 class StatusOnlySink(upstream.ResponseSink):
-    """Keeps the status of an answer and nothing else."""
+    """Keeps a response's status and discards its body."""
 
     def __init__(self):
         self.status = 0
 
     def on_head(self, status, reason, headers):
-        """Keep the status."""
+        """Store the status."""
         self.status = status
         return True
 
     def on_data(self, data):
-        """Drop a piece of the body."""
+        """Discard a chunk of the body."""
 
 
 @attrs.define(eq=False)
 class MemoryReservation:
-    """The tickets of one send; a resend gets new ones."""
+    """The reserved memory of one send; each retry makes a new reservation."""
 
     gateway: object
     request_id: str
@@ -57,10 +57,10 @@
     renewer: asyncio.Task | None = None
 
     async def reserve(self) -> bool:
-        """Take all tickets; free those taken if one is refused."""
+        """Reserve on all engines; release all if one refuses."""
         granted = await self.request_all()
         LOG.info(
-            "memory reserved" if granted else "memory not free",
+            "memory reserved" if granted else "memory not reserved",
             request=self.request_id,
             ticket=self.ticket,
             engines=[share.endpoint.name for share in self.shares],
@@ -73,7 +73,7 @@
         return granted
 
     async def request_all(self) -> bool:
-        """Reserve or renew at every engine; return whether all agreed."""
+        """Reserve or renew on all engines; return whether all granted it."""
         memory = self.gateway.dialect.memory
         statuses = await asyncio.gather(
             *(
@@ -88,10 +88,10 @@
     async def send_request(
         self, share: MemoryShare, request: upstream.UpstreamRequest
     ) -> int:
-        """Give one order; return its status, 0 for no answer.
+        """Send one request; return the HTTP status, 0 for no response.
 
-        None goes to a later start of the engine: the memory ended with the
-        earlier one, and renewing it would set memory aside for nobody.
+        Nothing is sent to a later incarnation of the engine: the reservation
+        ended with the earlier one, and a renewal would reserve unused memory.
         """
         if not self.gateway.endpoints.is_current(share.endpoint):
             return 0
@@ -106,7 +106,7 @@
                 await pool.call(request, sink, True)
         except TimeoutError:
             LOG.info(
-                "order without an answer",
+                "memory request not answered",
                 request=self.request_id,
                 endpoint=share.endpoint.name,
             )
@@ -120,7 +120,7 @@
             await self.request_all()
 
     async def release(self) -> None:
-        """Free all memory; what is not freed now ends with its lease."""
+        """Release all reservations; the lease ends those that fail to."""
         if self.renewer is not None:
             self.renewer.cancel()
         memory = self.gateway.dialect.memory
--- a/src/_coltsfootroad/gateway/names.py
+++ b/src/_coltsfootroad/gateway/names.py
@@ -1,4 +1,4 @@
-"""The header names that a gateway speaks towards callers and endpoints."""
+"""Names of the HTTP headers between callers, gateway and endpoints."""
 
 import attrs
 
@@ -19,20 +19,23 @@
 
 @attrs.frozen(kw_only=True)
 class HeaderNames:
-    """Names of the headers; a platform with other names passes its own.
+    """Names of the headers; a platform may define other names.
 
     Attributes:
-        request_id: Id of one try of a caller; endpoints echo it.
+        request_id: ID of one attempt of a caller; endpoints echo it.
         deadline_ms: Milliseconds for which the sender will wait.
-        key: Key of a workspace; never passed on.
-        workspace: Workspace that holds the key, set for endpoints.
-        tokens: Prompt tokens and output tokens at most, by comma.
-        signature: Proof that an answer is an endpoint's own.
-        not_run: Endpoint's word that it did not run the request.
-        expected_endpoint: Endpoint that alone may run the request.
-        urgency: Rank at the engine, 0 first.
-        helpers: Engines that read parts of the prompt.
-        faulty_peer: Engine that made a shared reading fail.
+        key: API key of a workspace; never forwarded.
+        workspace: Workspace of the API key, set for endpoints.
+        tokens: Prompt tokens and maximum output tokens, comma-separated.
+        signature: Present if the endpoint itself produced the response.
+        not_run: States that the endpoint did not run the request.
+        expected_endpoint: The only endpoint that may run the request.
+        urgency: Rank in the engine's queue, 0 first.
+        helpers: Engines that prefill parts of the prompt.
+        faulty_peer: Engine that made a shared prefill fail.
+        last_event_id: ID of the last event received; the stream resumes after
+            it.
+        retry_after: Seconds after which a refused caller should retry.
     """
 
     request_id: str = "X-Request-Id"
--- a/src/_coltsfootroad/gateway/ownwork.py
+++ b/src/_coltsfootroad/gateway/ownwork.py
@@ -1,4 +1,4 @@
-"""The work that one request is at its endpoints, told to other gateways."""
+"""Tracks the load of one request on its endpoints for all gateways."""
 
 import attrs
 
@@ -9,11 +9,11 @@
 
 @attrs.define(eq=False)
 class OwnWork:
-    """Counts the present send of a request at each endpoint that it uses.
+    """Registers the current send as work at each endpoint that it uses.
 
     Attributes:
         gateway: The gateway that sends.
-        keys: The work's keys, the endpoint that answers first.
+        keys: Keys of the work items; the responding endpoint's is the first.
     """
 
     gateway: object
@@ -26,25 +26,25 @@
         late: bool,
         now: float,
     ) -> None:
-        """Count a send; `late` if it cannot meet its aim any more."""
+        """Register a send; `late` if it can no longer meet its target."""
         held = {share.endpoint.name: share.tokens for share in choice.shares}
         known = (choice.endpoint, *choice.helpers)
-        for place, endpoint in enumerate(known):
+        for position, endpoint in enumerate(known):
             work = work_lib.Work(endpoint=endpoint.name, sent_at=now)
-            work.leads = place == 0
+            work.leads = position == 0
             work.kv_tokens = held.get(endpoint.name, 0)
             if prompt is not None:
                 set_prompt_fields(work, prompt, len(known), late)
             if work.leads and prompt is not None:
-                whole = prompt.prompt_tokens + prompt.output_tokens
-                work.kv_tokens = whole - sum(held.values())
+                total = prompt.prompt_tokens + prompt.output_tokens
+                work.kv_tokens = total - sum(held.values())
             self.keys.append(self.gateway.load.add(work))
-        # Places in batches are taken within milliseconds; plain endpoints
-        # have room for two calls that meet.
+        # Batch slots fill up within milliseconds, so other gateways must know
+        # of a prompt at once. Plain endpoints can run two simultaneous calls.
         self.gateway.notify_peers(urgent=prompt is not None)
 
     def end(self) -> None:
-        """Forget the send, if there is one."""
+        """Remove the work items of the send, if there are any."""
         if not self.keys:
             return
         for key in self.keys:
@@ -53,7 +53,7 @@
         self.gateway.notify_peers()
 
     def record_event(self, pause_s: float) -> bool:
-        """Note an event after a pause; return whether it was the first."""
+        """Record an event after a pause; return whether it was the first."""
         load = self.gateway.load
         work = load.own.get(self.keys[0]) if self.keys else None
         if work is None:
@@ -65,7 +65,7 @@
             self.gateway.notify_peers()
             return True
         if pause_s > work.gap_target_s > 0:
-            # Late already; nothing more is lost by further pauses.
+            # The target is missed already; further pauses cost nothing more.
             work.gap_target_s = 0.0
             load.touch(self.keys[0])
         return False
@@ -74,7 +74,7 @@
 def set_prompt_fields(
     work: work_lib.Work, prompt: spread.Prompt, parts: int, late: bool
 ) -> None:
-    """Say what a prompt is at one of the endpoints that read it."""
+    """Set the prompt's fields in the work item of one endpoint."""
     work.prompt_tokens = prompt.prompt_tokens
     work.output_tokens = prompt.output_tokens
     work.parts = parts
--- a/src/_coltsfootroad/gateway/quarantine.py
+++ b/src/_coltsfootroad/gateway/quarantine.py
@@ -1,4 +1,4 @@
-"""Refuses requests in quarantine, but for trials that the leader grants."""
+"""Refuses requests in quarantine, except trials that the leader grants."""
 
 import asyncio
 import collections
@@ -18,7 +18,7 @@
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("quarantine")
-# Stated to callers of an entry that only an operator ends.
+# Retry delay for an entry without a trial time, which only an operator ends.
 NO_TRIAL_RETRY_S = 600.0
 MIN_RETRY_S = 1.0
 RELEASE_RETRY_S = 0.5
@@ -27,16 +27,16 @@
 
 @attrs.define(eq=False)
 class Quarantine:
-    """A gateway's copy of the quarantine and what it does with it.
+    """Applies the quarantine to the requests of a gateway.
 
     Attributes:
         gateway: Name of the gateway.
-        link: The way to the leader.
+        link: Client of the leader.
         running: Returns the exchanges in progress.
-        on_ended: Called with what is no longer refused.
-        view: The copy.
-        asking: Fingerprints whose trial is being asked for.
-        refusals: Requests that were refused, by workspace.
+        on_ended: Called with the fingerprint of each entry that has ended.
+        view: Copy of the leader's quarantine entries.
+        requested_trials: Fingerprints with a trial request in flight.
+        refusals: Number of refused requests by workspace.
     """
 
     gateway: str
@@ -50,7 +50,7 @@
     refusals: collections.Counter = attrs.Factory(collections.Counter)
 
     def learn(self, changes: watching.Changes) -> None:
-        """Take changes, and stop requests that are in quarantine from now."""
+        """Apply changes, and stop requests that are now in quarantine."""
         learned = self.view.learn(
             changes.quarantined, changes.released, changes.whole, changes.more
         )
@@ -73,13 +73,13 @@
                 exchange.guard.stop_if_quarantined()
 
     async def start_trial(self, entry: quarantine_lib.Entry) -> bool:
-        """Return whether one request of an entry may run now.
+        """Request a trial run for an entry; return whether it was granted.
 
-        The leader grants a trial to one gateway only.
+        The leader grants each trial to one gateway only.
         """
         fingerprint = entry.fingerprint
-        due = entry.allows_trial(clocks.unix_time())
-        if not due or fingerprint in self.requested_trials:
+        is_due = entry.allows_trial(clocks.unix_time())
+        if not is_due or fingerprint in self.requested_trials:
             return False
         self.requested_trials.add(fingerprint)
         try:
@@ -101,7 +101,7 @@
         return granted
 
     async def release(self, fingerprint: fingerprints.Fingerprint) -> None:
-        """End an entry whose trial was answered whole."""
+        """End an entry whose trial got a complete response."""
         message = crashreports.EndQuarantine(
             fingerprint=fingerprint, reason="its trial was answered"
         )
@@ -111,12 +111,15 @@
                 LOG.info("trial passed", fingerprint=fingerprint.text)
                 return
             await asyncio.sleep(RELEASE_RETRY_S)
-        LOG.warning("trial passed, not noted", fingerprint=fingerprint.text)
+        LOG.warning(
+            "trial passed, not reported",
+            fingerprint=fingerprint.text,
+        )
 
     def refusal(
         self, entry: quarantine_lib.Entry, has_run: bool
     ) -> errors.Failure:
-        """Return the answer to a caller, and count it."""
+        """Return the failure for a caller, and count the refusal."""
         self.refusals[entry.fingerprint.workspace] += 1
         reason = (
             f"request {entry.fingerprint.text} is in quarantine:"
@@ -135,7 +138,7 @@
 
 
 def retry_after_s(entry: quarantine_lib.Entry, unix_s: float) -> float:
-    """Return when it helps to come back."""
+    """Return the retry delay to state to a caller."""
     if entry.trial_at is None:
         return NO_TRIAL_RETRY_S
     return round(max(MIN_RETRY_S, entry.trial_at - unix_s), 1)
--- a/src/_coltsfootroad/gateway/reply.py
+++ b/src/_coltsfootroad/gateway/reply.py
@@ -1,4 +1,4 @@
-"""The answer that a caller gets: one head, one end, or a broken connection."""
+"""Writes a response to a caller, or closes the connection if it is partial."""
 
 from collections.abc import Callable
 
@@ -20,20 +20,20 @@
 
 @attrs.define(eq=False)
 class Reply:
-    """Writes to the caller's connection.
+    """Writes the response to the caller's connection.
 
     Attributes:
-        gateway: The gateway that answers.
+        gateway: The gateway that responds.
         connection: The caller's connection.
-        request_id: Id of the request.
-        arrived_at: Boot clock seconds when its head was read.
-        on_event: Called with each event that is passed on.
-        streaming: Whether a stream has begun.
-        last_event: Id of the last event that was passed on.
-        last_event_at: When that was.
-        first_event_s: Seconds from the request's head to its first event,
+        request_id: ID of the request.
+        arrived_at: Boot clock seconds when the request's headers were read.
+        on_event: Called before each write of new events.
+        streaming: Whether the response has begun as a stream.
+        last_event: ID of the last event that was forwarded.
+        last_event_at: Boot clock seconds when that event was forwarded.
+        first_event_s: Seconds from the request's headers to its first event,
             None before it.
-        longest_pause_s: Seconds of the longest pause between two events.
+        longest_pause_s: Longest pause between two events in seconds.
     """
 
     gateway: object
@@ -48,23 +48,23 @@
     longest_pause_s: float = 0.0
 
     def open_stream(self, status: int, reason: str, headers) -> None:
-        """Begin the caller's answer; a resumed stream keeps its first head."""
+        """Start a streamed response; a resumed stream keeps its headers."""
         if self.streaming:
             return
         self.streaming = True
-        answer = end_to_end_headers(headers)
-        if "Content-Length" in answer:
-            # Another endpoint may have to finish the stream.
-            del answer["Content-Length"]
-        self.write_head(status, reason, answer)
+        kept = end_to_end_headers(headers)
+        if "Content-Length" in kept:
+            # Another endpoint may have to complete the stream.
+            del kept["Content-Length"]
+        self.write_head(status, reason, kept)
 
     def pass_events(self, events: list[eventstream.Event]):
-        """Pass whole events on, each id once."""
+        """Forward complete events, each event ID once."""
         data = b""
         for event in events:
-            known = self.last_event
+            last = self.last_event
             if event.number is not None:
-                if known is not None and event.number <= known:
+                if last is not None and event.number <= last:
                     continue
                 self.last_event = event.number
             data += event.data
@@ -77,7 +77,7 @@
         return written
 
     def record_event_time(self, now: float) -> None:
-        """Note when an event is passed on."""
+        """Record the time at which events are forwarded."""
         if self.first_event_s is None:
             self.first_event_s = round(now - self.arrived_at, 3)
         else:
@@ -86,7 +86,7 @@
         self.last_event_at = now
 
     def write_head(self, status: int, reason: str, headers, body=None):
-        """Write status and headers, and say when the connection closes."""
+        """Write status and headers; announce if the connection will close."""
         if self.gateway.closes_connections():
             headers["Connection"] = "close"
             self.connection._disconnect_on_finish = True  # noqa: SLF001
@@ -96,7 +96,7 @@
         written.add_done_callback(upstream.consume_exception)
 
     def complete(self, sink) -> None:
-        """End the caller's answer with an endpoint's whole answer."""
+        """Complete the response with an endpoint's complete response."""
         if not self.streaming:
             body = b"".join(sink.parts)
             headers = end_to_end_headers(sink.headers)
@@ -108,14 +108,17 @@
         )
 
     def finish(self) -> None:
-        """End the caller's answer as whole."""
+        """Mark the response as complete."""
         try:
             self.connection.finish()
         except iostream.StreamClosedError:
-            LOG.info("caller gone at the end", request=self.request_id)
+            LOG.info(
+                "caller gone at end of response",
+                request=self.request_id,
+            )
 
     def abort_stream(self, reason: str) -> None:
-        """Close the connection, as a half answer must not look whole."""
+        """Close the connection, so that the response is seen as incomplete."""
         LOG.warning(
             "stream broken off",
             request=self.request_id,
@@ -126,7 +129,7 @@
         self.gateway.record_failure("broken_off")
 
     def refuse(self, failure: errors.Failure, route: str) -> None:
-        """Answer with a failure of our own."""
+        """Respond with a failure that the gateway itself reports."""
         view = self.gateway.view
         now = clocks.boot_time()
         LOG.info(
@@ -160,14 +163,14 @@
 
 
 def reason_phrase(status: int) -> str:
-    """Return the usual reason phrase of a status."""
+    """Return the standard reason phrase of a status."""
     return httputil.responses.get(status, "Failed")
 
 
 def end_to_end_headers(headers) -> httputil.HTTPHeaders:
-    """Return an endpoint's headers without those of its connection."""
-    answer = httputil.HTTPHeaders()
+    """Return an endpoint's headers without the hop-by-hop ones."""
+    kept = httputil.HTTPHeaders()
     for name, value in headers.get_all():
         if name.lower() not in names_lib.HOP_BY_HOP:
-            answer.add(name, value)
-    return answer
+            kept.add(name, value)
+    return kept
--- a/src/_coltsfootroad/gateway/responses.py
+++ b/src/_coltsfootroad/gateway/responses.py
@@ -1,4 +1,4 @@
-"""Takes endpoints' answers: whole, or event by event, and judges them."""
+"""Receives and checks endpoints' responses, buffered or event by event."""
 
 import attrs
 from tornado import httputil
@@ -15,12 +15,16 @@
 
 @attrs.define
 class BufferedResponse(upstream.ResponseSink):
-    """An answer that is collected whole before the caller gets any of it.
+    """A response that is buffered until it is complete.
 
     Attributes:
-        names: The header names in use.
-        request_id: Id that a genuine answer echoes.
-        genuine: Whether the answer is the endpoint's own, to this request.
+        names: Names of the HTTP headers.
+        request_id: Request ID that a genuine response echoes.
+        status: HTTP status, 0 before the headers arrive.
+        reason: HTTP reason phrase.
+        headers: Headers of the response.
+        parts: Chunks of the body.
+        genuine: Whether the endpoint itself responded, and to this request.
     """
 
     names: names_lib.HeaderNames
@@ -32,7 +36,7 @@
     genuine: bool = False
 
     def on_head(self, status, reason, headers):
-        """Take the head if the answer belongs to this request."""
+        """Store the headers; return whether the response is genuine."""
         self.status = status
         self.reason = reason
         self.headers = headers
@@ -40,13 +44,13 @@
         return self.genuine
 
     def on_data(self, data):
-        """Keep a piece."""
+        """Store a chunk of the body."""
         self.parts.append(data)
 
     def is_genuine(self) -> bool:
-        """Return whether an answer is the endpoint's own, to this request."""
+        """Return whether the endpoint itself responded, and to this request."""
         if self.headers.get(self.names.request_id, "") != self.request_id:
-            # What was not read cannot be echoed.
+            # An endpoint that refuses a request unread cannot echo its ID.
             return self.status in NOT_RUN_STATUSES and self.proves_not_run()
         if self.headers.get("Content-Encoding"):
             return False
@@ -54,17 +58,17 @@
         return signed or self.status >= REDIRECTION
 
     def proves_not_run(self) -> bool:
-        """Return whether an answer proves that the request did not run."""
+        """Return whether the response proves that the request did not run."""
         return self.status == MISDIRECTED or self.names.not_run in self.headers
 
     def is_body_complete(self) -> bool:
-        """Return whether nothing is missing that framing cannot show."""
+        """Return whether the body is complete, beyond its HTTP framing."""
         return True
 
 
 @attrs.define(kw_only=True)
 class StreamedResponse(BufferedResponse):
-    """A stream whose events are passed on as they become whole."""
+    """A stream whose events are forwarded as soon as they are complete."""
 
     reply: reply_lib.Reply
     splitter: eventstream.EventSplitter = attrs.Factory(
@@ -72,23 +76,23 @@
     )
 
     def on_head(self, status, reason, headers):
-        """Begin the caller's answer with the first endpoint's head."""
-        kept = BufferedResponse.on_head(self, status, reason, headers)
-        if kept and self.is_stream():
+        """Store the headers; start the caller's response if it is a stream."""
+        is_accepted = BufferedResponse.on_head(self, status, reason, headers)
+        if is_accepted and self.is_stream():
             self.reply.open_stream(status, reason, headers)
-        return kept
+        return is_accepted
 
     def is_stream(self) -> bool:
-        """Return whether the body is to be passed on event by event."""
+        """Return whether the body is forwarded event by event."""
         return 200 <= self.status < REDIRECTION
 
     def on_data(self, data):
-        """Pass on the events that are whole."""
+        """Forward complete events, or store a chunk of an error response."""
         if not self.is_stream():
             self.parts.append(data)
             return None
         return self.reply.pass_events(self.splitter.feed(data))
 
     def is_body_complete(self):
-        """Return whether no half event is left."""
+        """Return whether no partial event is left."""
         return not self.splitter.pending
--- a/src/_coltsfootroad/gateway/retryborrower.py
+++ b/src/_coltsfootroad/gateway/retryborrower.py
@@ -1,4 +1,4 @@
-"""Asks the leader for retries when a service's budget has room for none."""
+"""Borrows retries from the leader when a service's budget is exhausted."""
 
 from collections.abc import Callable
 import random
@@ -13,23 +13,24 @@
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("retries")
-# Pause after a loan; requests of that time are counted into the next one.
+# Pause after a loan; retries refused meanwhile are added to the next request.
 PAUSE_S = 0.1
-# Pause after a leader was not reached.
+# Pause after the leader was not reached.
 FAILURE_PAUSE_S = 1.0
-# Pauses are drawn longer by up to this part, to spread what gateways ask.
+# Pauses are randomly extended by up to this part, to spread the requests of
+# different gateways.
 JITTER = 0.5
 MAX_WANTED = 32
 
 
 @attrs.define(eq=False)
 class BorrowState:
-    """What is known of asking for one service.
+    """State of borrowing for one service.
 
     Attributes:
-        is_asking: Whether a request is on its way.
-        not_before: When to ask again at the soonest.
-        refused: Retries that the budget had refused at the last request.
+        is_in_flight: Whether a request to the leader is in flight.
+        not_before: Boot clock seconds of the earliest next request.
+        refused: The budget's count of refused retries at the last request.
     """
 
     is_in_flight: bool = False
@@ -39,10 +40,10 @@
 
 @attrs.define(eq=False)
 class RetryBorrower:
-    """Keeps a gateway in loans while its endpoints fail.
+    """Borrows retries for a gateway while its endpoints fail.
 
-    No request waits for a loan: a request without a retry is refused, and the
-    loan serves later requests.
+    No caller's request waits for a loan: a request that needs a retry and gets
+    none fails, and the loan serves later requests.
     """
 
     gateway: str
@@ -58,7 +59,7 @@
         floor_share: float,
         now: float,
     ) -> None:
-        """Ask for retries if the next one would be refused."""
+        """Request a loan if the next retry would be refused."""
         if budget.has_room(floor_share) or budget.loans.left(now):
             return
         state = self.services.setdefault(service, BorrowState())
@@ -76,7 +77,7 @@
         state: BorrowState,
         wanted: int,
     ) -> None:
-        """Ask the leader once."""
+        """Send one request to the leader and add the lent retries."""
         asked_at = clocks.boot_time()
         try:
             answer = await self.link.call(
--- a/src/_coltsfootroad/gateway/sendbudget.py
+++ b/src/_coltsfootroad/gateway/sendbudget.py
@@ -11,16 +11,17 @@
 
 @attrs.define(eq=False)
 class SendBudget:
-    """What one exchange has taken out of the retry budget.
+    """Charges one exchange's sends to the retry budget.
 
-    The budget bounds arrivals beyond a request's first one, so a send after
-    others that reached no endpoint costs nothing. A retry is reserved when the
-    request goes on, and charged right before its first byte is written.
+    The budget limits the sends of a request that reach an endpoint, beyond the
+    first one. A send is therefore free if no earlier one reached an endpoint.
+    A retry is reserved when another send is decided on, and charged right
+    before the first byte is written.
 
     Attributes:
-        exchange: The exchange, once its request is admitted.
-        arrivals: Sends that may have reached an endpoint.
-        retry: What is reserved for the next send, None for nothing.
+        exchange: The exchange; its request must be admitted before use.
+        arrivals: Number of sends that may have reached an endpoint.
+        retry: The retry reserved for the next send, None for none.
     """
 
     exchange: object
@@ -33,7 +34,7 @@
         return self.exchange.gateway.budget(self.exchange.service.name)
 
     def floor_share(self, now: float) -> float:
-        """Return the gateway's settled part of the slack."""
+        """Return the gateway's share of the budget's slack."""
         return self.exchange.gateway.floor_share.least(now)
 
     def allows_another_send(self) -> bool:
@@ -41,7 +42,7 @@
         return not self.arrivals or self.reserve(clocks.boot_time())
 
     def reserve(self, now: float) -> bool:
-        """Hold a retry for the next send, if the budget has one."""
+        """Reserve a retry for the next send; return whether that succeeded."""
         if self.retry is not None:
             return True
         share = self.floor_share(now)
@@ -54,7 +55,7 @@
         return is_reserved
 
     def charge(self) -> bool:
-        """Charge the send that is about to be written; return if it may be."""
+        """Charge the send that is about to start; return if it is allowed."""
         now = clocks.boot_time()
         if self.arrivals:
             if not self.reserve(now):
@@ -67,13 +68,13 @@
         return True
 
     def release(self) -> None:
-        """Give back the retry that was reserved and not sent."""
+        """Return a reserved retry that was not sent to the budget."""
         retry, self.retry = self.retry, None
         if retry is not None:
             self.budget.release(retry)
 
     def log(self, event: str, now: float) -> None:
-        """Log a decision of the budget with what it was taken from."""
+        """Log a decision of the budget with its inputs."""
         exchange, budget = self.exchange, self.budget
         share = self.floor_share(now)
         LOG.info(
--- a/src/_coltsfootroad/gateway/server.py
+++ b/src/_coltsfootroad/gateway/server.py
@@ -1,4 +1,4 @@
-"""A gateway with its listeners, timers and beliefs."""
+"""The gateway process: listeners, timers, and its view of the cluster."""
 
 import asyncio
 import collections
@@ -37,27 +37,28 @@
 
 LOG = logs.logger("gateway")
 TICK_INTERVAL_S = 0.25
-# Age of the last word of the leader past which the gateway no longer calls
-# itself ready; callers should have moved before it refuses.
+# The gateway reports itself as not ready when its last proof from the leader is
+# older than this, so that callers move away before it refuses requests.
 MAX_READY_PROOF_AGE_S = 3.5
-# Age past which what it says of other gateways is not to be used.
+# With an older proof, the list of gateways is no longer served.
 MAX_MEMBERS_PROOF_AGE_S = 30.0
-# A stopping gateway takes requests for this long, as callers keep addresses
-# for a few seconds; after it, one that needs long would be cut off.
+# A stopping gateway accepts requests for this long, as callers cache addresses
+# for a few seconds. A long request accepted later would be cut off by the end
+# of the grace period.
 ACCEPT_WHILE_STOPPING_S = 3.0
 ENDPOINT_EVENTS = {
     endpointset.Learned.NEW: "endpoint announced",
     endpointset.Learned.ENDED: "endpoint left",
     endpointset.Learned.RESTARTED: "endpoint restarted",
 }
-# Left of the grace period when the process must be done.
+# The process exits this long before the end of the grace period.
 STOP_MARGIN_S = 0.6
-# A stopping gateway waits this long for its last orders to engines.
+# A stopping gateway waits this long for background calls to engines.
 FINAL_TASKS_TIMEOUT_S = 0.2
 
 
 class Gateway:
-    """Passes requests on by the routes in force."""
+    """Forwards requests according to the routes in force."""
 
     def __init__(
         self,
@@ -71,7 +72,8 @@
         self.tasks: set[asyncio.Task] = set()
         self.last_ticket = 0
         self.metrics = metrics
-        # Summaries of an earlier process must not hide those of this one.
+        # Must increase with each start, as receivers ignore load summaries of
+        # earlier incarnations.
         self.incarnation = time.time_ns()
         self.started_at = clocks.boot_time()
         self.view = routeview.RouteView(settings.staleness_bound_s)
@@ -91,7 +93,8 @@
         )
         self.pools: dict[str, upstream.EndpointPool] = {}
         self.budgets: dict[str, windowbudget.WindowBudget] = {}
-        # Others may act on older members until their proof is too old.
+        # Other gateways may use an older member list, and so larger shares,
+        # until their proof expires; the smallest recent share is safe.
         self.floor_share = settledshare.SettledShare(
             settings.retry_window_s
             + settings.staleness_bound_s
@@ -128,10 +131,10 @@
         )
         self.add_metrics()
 
-    # --- life ------------------------------------------------------------
+    # --- lifecycle ------------------------------------------------------------
 
     async def start(self) -> None:
-        """Open the listeners and begin to watch."""
+        """Open the listeners and start to poll the control plane."""
         settings = self.settings
         self.front.listen(settings.listen)
         web.listen(
@@ -161,7 +164,7 @@
         )
 
     async def tick(self) -> None:
-        """Keep the other gateways' views alive."""
+        """Expire old load and send load summaries periodically."""
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             self.load.expire(clocks.boot_time())
@@ -169,7 +172,7 @@
             traffic.PROCESS.log(clocks.boot_time())
 
     async def drain(self) -> None:
-        """Leave the addresses, serve on, and end within the grace period."""
+        """Stop advertising the gateway, finish requests, and stop in time."""
         started = clocks.boot_time()
         self.leaving = True
         self.stopping_at = started
@@ -192,14 +195,14 @@
         await self.watch.close()
 
     def reload(self, settings: settings_lib.GatewaySettings) -> None:
-        """Take settings that may change while the process runs."""
+        """Apply the settings that may change while the process runs."""
         self.watch.learn_seeds(settings.control())
         LOG.info("settings reloaded", control=list(settings.control()))
 
-    # --- beliefs ---------------------------------------------------------
+    # --- cluster view ---------------------------------------------------------
 
     def adopt(self, config: routes.RouteConfig) -> None:
-        """Put a higher version of the routes in force."""
+        """Apply a newer version of the routes."""
         before = self.view.version
         if self.view.adopt(config):
             self.front.apply(config.limits)
@@ -211,7 +214,7 @@
             )
 
     def learn_endpoint(self, announcement: registry.Announcement) -> None:
-        """Take an endpoint's announcement."""
+        """Apply an endpoint's announcement."""
         before = self.endpoints.known.get(announcement.endpoint)
         learned = self.endpoints.learn(announcement, clocks.boot_time())
         if learned is endpointset.Learned.OLD:
@@ -225,28 +228,28 @@
             address=announcement.address,
         )
         if learned is endpointset.Learned.RESTARTED:
-            # Connections kept to the earlier start are dead.
+            # Idle connections to the earlier incarnation are dead.
             self.pool(before.announcement.address).close()
 
     def is_ready(self) -> bool:
-        """Return whether callers should come here."""
-        young = self.view.age_s(clocks.boot_time()) < MAX_READY_PROOF_AGE_S
-        return young and self.view.table is not None and not self.leaving
+        """Return whether callers should use this gateway."""
+        is_current = self.view.age_s(clocks.boot_time()) < MAX_READY_PROOF_AGE_S
+        return is_current and self.view.table is not None and not self.leaving
 
     def knows_members(self) -> bool:
-        """Return whether the list of gateways is young enough to use."""
+        """Return whether the list of gateways is recent enough to serve."""
         return self.view.age_s(clocks.boot_time()) < MAX_MEMBERS_PROOF_AGE_S
 
     def refuses_new_requests(self, now: float) -> bool:
-        """Return whether a stopping gateway takes no more requests."""
+        """Return whether the gateway is stopping and refuses new requests."""
         return now > self.stopping_at + ACCEPT_WHILE_STOPPING_S
 
     def closes_connections(self) -> bool:
-        """Return whether answers end their connection."""
+        """Return whether the connection closes after each response."""
         return self.leaving
 
-    def update_floor_share(self) -> None:
-        """Take what the members known now leave of limits that all share."""
+    def update_slack_share(self) -> None:
+        """Update this gateway's share of limits from the known members."""
         share = self.view.rotation.limit_share(self.settings.gateway)
         self.floor_share.update(
             share, clocks.boot_time(), self.view.confirmed_at
@@ -263,36 +266,36 @@
         return self.budgets[service]
 
     def pool(self, address: str) -> upstream.EndpointPool:
-        """Return the connections to an address."""
+        """Return the connection pool of an endpoint's address."""
         if address not in self.pools:
             self.pools[address] = upstream.EndpointPool(address)
         return self.pools[address]
 
     def next_ticket(self) -> str:
-        """Return a ticket that no other send has ever had."""
+        """Return a ticket that is unique among all sends of all gateways."""
         self.last_ticket += 1
         return f"{self.settings.gateway}-{self.incarnation}-{self.last_ticket}"
 
-    def spawn(self, work) -> None:
-        """Run something that nobody waits for."""
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine) -> None:
+        """Run a coroutine in the background."""
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def notify_peers(self, urgent: bool = False) -> None:
-        """Let the other gateways know that own work has changed."""
+        """Schedule a load summary to the other gateways."""
         self.gossip.schedule_send(
             gossip_lib.COALESCE_S if urgent else gossip_lib.LAZY_COALESCE_S
         )
 
-    # --- facts -----------------------------------------------------------
+    # --- records -----------------------------------------------------------
 
     def record_first_event(self, seconds: float) -> None:
-        """Count a first event."""
+        """Record the time to the first event."""
         self.first_events.record(seconds)
 
     def record_response(self, status: int, seconds: float) -> None:
-        """Count a whole answer."""
+        """Record a complete response."""
         self.counts[f"status_{status // 100}xx"] += 1
         self.answer_times.record(seconds)
 
@@ -302,11 +305,11 @@
         self.crash_reporter.report(crash)
 
     def record_failure(self, code: str) -> None:
-        """Count a refusal or failure of our own."""
+        """Count a refusal or failure that the gateway itself reports."""
         self.counts[code] += 1
 
     def dump(self) -> bytes:
-        """Return the state of the process for people."""
+        """Return the state of the process as JSON for operators."""
         return dumps.to_json(
             {
                 "settings": self.settings,
@@ -326,7 +329,7 @@
         )
 
     def budgets_dump(self) -> dict[str, dict]:
-        """Return what the retry budgets hold now, by service."""
+        """Return the state of the retry budgets by service."""
         now = clocks.boot_time()
         share = self.floor_share.least(now)
         return {
@@ -399,7 +402,7 @@
         traffic.PROCESS.add_metrics(self.metrics)
 
     def add_budget_metrics(self) -> None:
-        """Register what is counted of each service's retry budget."""
+        """Register the counters of the services' retry budgets."""
         texts = {
             "counted": "Requests counted for the retry budget",
             "sent": "Retries sent and charged to the retry budget",
--- a/src/_coltsfootroad/gateway/sockets.py
+++ b/src/_coltsfootroad/gateway/sockets.py
@@ -1,9 +1,9 @@
-"""Socket options that all connections of a gateway share."""
+"""Socket options for all connections of a gateway."""
 
 import socket
 
-# Connections go silent without a reset; unacknowledged bytes end one after
-# this time, and idle ones are probed.
+# A peer may vanish without a TCP reset. A connection with unacknowledged data
+# is closed after this time; idle connections send keep-alive probes.
 USER_TIMEOUT_MS = 3_000
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_INTERVAL_S = 1
@@ -11,7 +11,7 @@
 
 
 def tune(raw: socket.socket) -> None:
-    """Set time-outs, and send small pieces at once."""
+    """Set time-outs and keep-alive, and disable Nagle's algorithm."""
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
--- a/src/_coltsfootroad/gateway/startup.py
+++ b/src/_coltsfootroad/gateway/startup.py
@@ -1,11 +1,11 @@
-"""What a gateway that has just started waits for before it answers.
+"""Holds requests for a short time after a gateway has started.
 
-The pattern it answers: all VMs lose power at once. Gateways are back before
-the replicas have elected a leader, and the new leader hears the endpoints
-only with their next announcements. A caller has tried once already and will
-come back at most once more, so a refusal in this second loses its request,
-while a short wait serves it late. Whoever would leave before the wait ends
-gains nothing, so it is shorter than the pause that callers bear.
+When all VMs lose power at once, gateways restart before the replicas have
+elected a leader, and the new leader learns of endpoints only with their next
+announcements. A caller that has tried once will retry at most once more, so a
+refusal at this time may lose its request, while a short wait serves it late.
+The wait is shorter than the pause after which callers disconnect, since holding
+a request for longer than that would be useless.
 """
 
 import asyncio
@@ -16,27 +16,35 @@
 from _coltsfootroad.core import routeview
 from _coltsfootroad.shell import clocks
 
-# Callers of a stream leave after 2 s without an event.
+# Callers of a stream disconnect after 2 s without an event.
 MAX_HOLD_S = 1.5
-# Endpoints announce themselves each second or so: by then most are known, and
-# the first ones known are not handed everybody's requests. A request that the
-# ones known can serve in time does not wait for more.
+# Endpoints announce themselves about every second, so most are known after this
+# time, and the first known endpoints do not get the requests of all callers. A
+# request that the known endpoints can serve in time is not held for longer.
 ENDPOINT_SETTLE_S = 0.8
-# Endpoints whose announcements found no leader make them again at once; the
-# first two or three of them have no room for all that waits.
+# Endpoints whose announcements found no leader repeat them at once. Before this
+# time, only two or three are known, too few for the waiting requests.
 FIRST_ENDPOINTS_S = 0.2
-# Part of a caller's stated time that a request may be held.
+# Part of a caller's stated timeout for which a request may be held.
 MAX_HOLD_FRACTION = 0.5
 POLL_INTERVAL_S = 0.02
-# The same for what takes a choice of endpoints, as up to `MAX_HELD` may look.
+# Longer for checks that choose endpoints, as up to `MAX_HELD` requests poll.
 CHOICE_POLL_INTERVAL_S = 0.06
-# Requests that wait at a time; more are refused at once.
+# Limit of requests that are held at a time; others are not held.
 MAX_HELD = 300
 
 
 @attrs.define
 class StartupGate:
-    """Holds requests until routes and endpoints are known, but briefly."""
+    """Holds requests until routes and endpoints are known, for a limited time.
+
+    Attributes:
+        view: The routes in force.
+        registry_since: Boot clock seconds since when the leader has received
+            announcements, None before the first response of a relay.
+        done: Whether requests need no longer be held; stays true.
+        held: Number of requests that are held.
+    """
 
     view: routeview.RouteView
     registry_since: float | None = None
@@ -44,20 +52,20 @@
     held: int = 0
 
     def on_news(self, registry_age_s: float, now: float) -> None:
-        """Note for how long the leader has heard endpoints."""
+        """Record for how long the leader has received announcements."""
         self.registry_since = now - registry_age_s
 
     def is_settled(self, now: float) -> bool:
-        """Return whether requests can be served; stays so once it was."""
+        """Return whether requests need not be held; stays true once it is."""
         if self.done:
             return True
         since = self.registry_since
-        known = self.view.table is not None and since is not None
-        self.done = known and now - since >= ENDPOINT_SETTLE_S
+        is_known = self.view.table is not None and since is not None
+        self.done = is_known and now - since >= ENDPOINT_SETTLE_S
         return self.done
 
     def knows_first_endpoints(self) -> bool:
-        """Return whether those endpoints are known that announce at once."""
+        """Return whether endpoints that announce at once are known."""
         since = self.registry_since
         return (
             since is not None
@@ -65,7 +73,7 @@
         )
 
     def knows_routes(self) -> bool:
-        """Return whether a leader has told the routes in force."""
+        """Return whether the routes are proven to be current."""
         return self.view.is_current(clocks.boot_time())
 
     async def wait(
@@ -75,11 +83,11 @@
         can_proceed: Callable[[], bool],
         poll_interval_s: float = POLL_INTERVAL_S,
     ) -> None:
-        """Hold a request until it can be served or its caller would leave.
+        """Hold a request until it can be served or its wait time is over.
 
-        `patience_s` is the time that the caller stated; half of it is left
-        for the answer. `until` says whether this request need not wait for
-        the gateway to settle; it is asked each `every_s`.
+        `caller_timeout_s` is the timeout that the caller states; half of it
+        is left for the response. `can_proceed` returns whether this request
+        can be served earlier; it is called every `poll_interval_s`.
         """
         if self.is_settled(clocks.boot_time()) or self.held >= MAX_HELD:
             return
--- a/src/_coltsfootroad/gateway/upstream.py
+++ b/src/_coltsfootroad/gateway/upstream.py
@@ -1,7 +1,7 @@
-"""Connections to endpoints: kept ones, and one request on each.
+"""Sends requests to endpoints over pooled HTTP/1.1 connections.
 
-tornado's connection class parses and frames; this module decides which
-connection may carry which request and what the end of an answer proves.
+tornado parses and frames the messages; this module decides which connection
+may carry a request, and what the end of a call proves about its execution.
 """
 
 import abc
@@ -20,19 +20,19 @@
 from _coltsfootroad.shell import settings as settings_lib
 from _coltsfootroad.shell import traffic
 
-# A connection within a place takes 2 ms; a lost packet is sent again after
-# a second, which no short request can wait for.
+# Connecting normally takes 2 ms. TCP retransmits a lost SYN after one
+# second, too late for a short request.
 CONNECT_TIMEOUT_S = 0.4
-# A kept connection is used within this part of the time that the endpoint
-# promised to keep it; closing may cross with the next request.
+# Part of the endpoint's keep-alive time in which an idle connection is reused;
+# later, the endpoint may close it while the next request is in flight.
 KEEP_ALIVE_FRACTION = 0.5
-# Used when an endpoint does not say how long it keeps connections.
+# Used when an endpoint states no keep-alive time.
 DEFAULT_KEEP_ALIVE_S = 1.0
 MAX_IDLE_PER_ENDPOINT = 8
 MAX_HEADER_BYTES = 64 * 1024
 MAX_BODY_BYTES = 64 * 1024 * 1024
 CHUNK_BYTES = 64 * 1024
-# How the bodies of requests and answers are counted.
+# Traffic counters of request and response bodies.
 REQUEST_KIND = "request"
 RESPONSE_KIND = "answer"
 
@@ -44,13 +44,13 @@
     NOT_SENT = "not_sent"
     LOST = "lost"
     SILENT = "silent"
-    # Ended by the gateway, as the request is not to run any longer.
+    # Cancelled by the gateway because the request went into quarantine.
     STOPPED = "stopped"
 
 
 @attrs.frozen(kw_only=True)
 class UpstreamRequest:
-    """What is sent: the request line, headers and body as they are."""
+    """The request line, headers and body that are sent unchanged."""
 
     method: str
     target: str
@@ -59,32 +59,32 @@
 
 
 class ResponseSink(abc.ABC):
-    """Takes an answer as it arrives."""
+    """Receives a response as it arrives."""
 
     @abc.abstractmethod
     def on_head(self, status: int, reason: str, headers) -> bool:
-        """Take status and headers; False gives the answer up."""
+        """Receive status and headers; return False to discard the body."""
 
     @abc.abstractmethod
     def on_data(self, data: bytes):
-        """Take bytes of the body; may return a future to wait for."""
+        """Receive body bytes; may return a future to wait for."""
 
 
 def allow_send() -> bool:
-    """Let everything be sent."""
+    """Allow every request to be sent."""
     return True
 
 
 @attrs.define
 class IdleConnection:
-    """An idle connection and until when it may be used."""
+    """An idle connection and the time until which it may be reused."""
 
     stream: iostream.IOStream
     use_until: float
 
 
 class ResponseReader(httputil.HTTPMessageDelegate):
-    """Passes tornado's parsing events to a sink."""
+    """Forwards tornado's parser callbacks to a sink."""
 
     def __init__(self, sink: ResponseSink):
         self.sink = sink
@@ -94,7 +94,7 @@
         self.aborted = False
 
     def headers_received(self, start_line, headers):
-        """Take the head of an answer; interim ones are dropped."""
+        """Receive the headers; 1xx responses are ignored."""
         if start_line.code < 200:
             return
         self.status = start_line.code
@@ -105,21 +105,21 @@
         return
 
     def data_received(self, chunk):
-        """Take a piece of the body."""
+        """Receive a chunk of the body."""
         traffic.received(RESPONSE_KIND, len(chunk))
         return None if self.aborted else self.sink.on_data(chunk)
 
     def finish(self):
-        """Note that the framing says that the answer is whole."""
+        """Mark the response as complete according to its framing."""
         self.complete = True
 
     def on_connection_close(self):
-        """Leave the answer as incomplete."""
+        """Leave the response marked as incomplete."""
 
 
 @attrs.define
 class EndpointPool:
-    """The connections to one endpoint's address."""
+    """The connection pool of one endpoint's address."""
 
     address: str
     idle: list[IdleConnection] = attrs.Factory(list)
@@ -127,7 +127,7 @@
     opened: int = 0
 
     async def connect(self) -> iostream.IOStream | None:
-        """Return a new connection, None if there is none in time."""
+        """Return a new connection, None on failure or time-out."""
         raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sockets.tune(raw)
         stream = iostream.IOStream(raw)
@@ -146,7 +146,7 @@
         return stream
 
     def take_idle(self) -> iostream.IOStream | None:
-        """Return a kept connection that is surely still good."""
+        """Return an idle connection that is safe to reuse, None if none is."""
         now = clocks.boot_time()
         while self.idle:
             idle_connection = self.idle.pop()
@@ -164,11 +164,11 @@
         reuse: bool,
         may_send: Callable[[], bool] = allow_send,
     ) -> CallEnd:
-        """Send a request and read its answer.
+        """Send a request and read its response.
 
-        A request that must not run twice goes on a new connection: when a
-        kept one turns out closed, nothing proves that it did not run.
-        `may_send` is asked right before the first byte is written.
+        A request that must not run twice needs a new connection: if a reused
+        one turns out to be closed, nothing proves that the request did not
+        run. `may_send` is called right before the first byte is written.
         """
         stream = self.take_idle() if reuse else None
         if stream is None:
@@ -190,7 +190,7 @@
         request: UpstreamRequest,
         sink: ResponseSink,
     ) -> CallEnd:
-        """Run one request on an open connection, then keep or close it."""
+        """Run one request on a connection, then pool or close it."""
         connection = http1connection.HTTP1Connection(stream, True, PARAMETERS)
         reader = ResponseReader(sink)
         keep = False
@@ -206,9 +206,9 @@
             connection.finish()
             stream.set_nodelay(True)
             await connection.read_response(reader)
-            whole = reader.complete and stream.error is None
-            keep = whole and is_reusable(stream, reader, written.done())
-            return CallEnd.COMPLETE if whole else CallEnd.LOST
+            is_complete = reader.complete and stream.error is None
+            keep = is_complete and is_reusable(stream, reader, written.done())
+            return CallEnd.COMPLETE if is_complete else CallEnd.LOST
         except (iostream.StreamClosedError, OSError):
             return CallEnd.LOST
         finally:
@@ -218,13 +218,13 @@
                 stream.close()
 
     def keep(self, stream: iostream.IOStream, headers) -> None:
-        """Keep a connection for as long as the endpoint promises to."""
-        promised_s = keep_alive_s(headers)
-        if len(self.idle) >= MAX_IDLE_PER_ENDPOINT or promised_s <= 0:
+        """Pool a connection for part of the endpoint's keep-alive time."""
+        keep_alive_time_s = keep_alive_s(headers)
+        if len(self.idle) >= MAX_IDLE_PER_ENDPOINT or keep_alive_time_s <= 0:
             stream.close()
             return
-        use_until = clocks.boot_time() + promised_s * KEEP_ALIVE_FRACTION
-        # A close callback makes the stream watch for the other side's end.
+        use_until = clocks.boot_time() + keep_alive_time_s * KEEP_ALIVE_FRACTION
+        # With a close callback, the stream detects that the peer closes.
         stream.set_close_callback(ignore_close)
         self.idle.append(IdleConnection(stream, use_until))
 
@@ -244,19 +244,19 @@
 
 
 def ignore_close() -> None:
-    """Take the end of an idle connection; it is found closed later."""
+    """Ignore that an idle connection closed; `take_idle` detects it."""
 
 
 def consume_exception(future: asyncio.Future) -> None:
-    """Fetch a failed write's error; the reading side reports it."""
+    """Retrieve a failed write's exception; the reader reports the failure."""
     if not future.cancelled():
         future.exception()
 
 
 def is_open_without_input(stream: iostream.IOStream) -> bool:
-    """Return whether an idle connection is open and nothing has come in.
+    """Return whether an idle connection is open and has no unread input.
 
-    Bytes that an endpoint sends unasked would be read as the next answer.
+    Unsolicited bytes would be parsed as the next response.
     """
     if stream.closed() or stream._read_buffer_size:  # noqa: SLF001
         return False
@@ -266,7 +266,7 @@
         return True
     except OSError:
         return False
-    # Neither an end nor extra bytes may stand before the next answer.
+    # The peer has closed the connection or sent unsolicited bytes.
     del waiting
     return False
 
@@ -276,8 +276,8 @@
 ) -> bool:
     """Return whether a connection can carry another request.
 
-    An endpoint may answer before it has read a long body; what is left of
-    that body would then be taken for the next request.
+    An endpoint may respond before it has read a long body; the rest of that
+    body would then be parsed as the next request.
     """
     if reader.aborted or not all_written or stream.closed():
         return False
@@ -290,7 +290,7 @@
 
 
 def keep_alive_s(headers) -> float:
-    """Return for how many seconds the other side keeps a connection."""
+    """Return the peer's keep-alive time in seconds."""
     for word in headers.get("Keep-Alive", "").split(","):
         name, _, value = word.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
--- a/src/_coltsfootroad/gateway/watch.py
+++ b/src/_coltsfootroad/gateway/watch.py
@@ -1,7 +1,8 @@
-"""Keeps a gateway current by asking for news, again and again.
+"""Long-polls the control plane for changes and applies them to a gateway.
 
-It asks a relay of its availability zone, which has it from the leader, and
-goes to another one, or to the leader, when that one falls silent or behind.
+The gateway polls a relay in its availability zone, which gets the changes from
+the leader. When the relay does not respond or lags behind, the gateway polls
+another relay or the leader.
 """
 
 import asyncio
@@ -22,22 +23,23 @@
 from _coltsfootroad.shell import wire
 
 LOG = logs.logger("watch")
-# An answer without news comes after this time. Together with the time-out and
-# the age of the relay's own proof it keeps the proof younger than two seconds
-# while anybody leads, and lets the loss of a gateway in use show in 1.6 s.
+# A response without changes is held back for this long. Together with the
+# time-out and the age of the relay's own proof, it keeps this gateway's proof
+# younger than 2 s while there is a leader, and the loss of a gateway that
+# receives requests is detected within 1.6 s.
 POLL_HOLD_S = 0.4
-# The same for a gateway that callers are not sent to: its loss hurts nobody,
-# and most of hundreds of gateways ask less than half as often.
+# The same for a gateway that is not advertised to callers: its loss affects no
+# request, and most of hundreds of gateways poll less than half as often.
 UNUSED_GATEWAY_POLL_HOLD_S = 1.0
-# How much longer than it is held back an answer may take on its way.
+# Time-out of a poll beyond the time for which the response is held back.
 POLL_TRANSIT_S = 0.3
-# Pause after an answer: one that brings a change each 60 ms is enough.
+# Pause between polls; one change every 60 ms is frequent enough.
 POLL_PAUSE_S = 0.02
 POLL_FAILURE_PAUSE_S = 0.1
-# A fault comes again with each answer until a later version mends it.
+# An error repeats with each response until a later version corrects it.
 POLL_ERROR_LOG_LIMIT = logs.LineLimit(5, 10.0)
-# A gateway needs no more of what the control state speaks, and starts sooner
-# without the rest.
+# The gateway's part of the control protocol; leaving out the other messages
+# shortens the start.
 MESSAGES = wire.Wire.of(
     watching.Watch,
     watching.News,
@@ -55,7 +57,7 @@
 
 
 class Watch:
-    """Asks for news and puts them in force."""
+    """Polls for changes and applies them."""
 
     def __init__(self, gateway):
         self.gateway = gateway
@@ -69,72 +71,72 @@
         self.epoch = ""
         self.registry_mark = 0
         self.connected = False
-        # Endpoints that a leader which knows nothing of them has to learn.
+        # Announcements to resend to a new leader that does not have them.
         self.backlog = backlog_lib.Backlog()
         self.route_sync = routesync.RouteSync()
         self.task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start to poll."""
         self.task = asyncio.ensure_future(self.run())
 
     def learn_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take further addresses of the control state."""
+        """Add addresses of the control plane."""
         self.choice.learn_seeds(seeds)
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Poll until cancelled."""
         while True:
-            answered = await self.try_poll()
-            pause_s = POLL_PAUSE_S if answered else POLL_FAILURE_PAUSE_S
+            succeeded = await self.try_poll()
+            pause_s = POLL_PAUSE_S if succeeded else POLL_FAILURE_PAUSE_S
             await asyncio.sleep(pause_s)
 
     async def try_poll(self) -> bool:
-        """Ask once; a fault in taking an answer must not end the watch.
+        """Poll once; an error in applying a response must not end the watch.
 
-        A version that cannot be applied would otherwise keep away the next
-        one, which may mend it. What was not taken proves nothing.
+        A version that cannot be applied would otherwise block the next one,
+        which may correct it. A response that was not applied proves nothing.
         """
         try:
             return await self.poll()
         except Exception:  # noqa: BLE001
             if POLL_ERROR_LOG_LIMIT.allows(clocks.boot_time()):
                 LOG.error(
-                    "answer not taken",
+                    "changes not applied",
                     version=self.gateway.view.version,
                     fault=traceback.format_exc(),
                 )
             return False
 
     async def poll(self) -> bool:
-        """Ask once; return whether there was an answer that helps."""
-        polled_at = clocks.boot_time()
+        """Poll once; return whether the response was usable."""
+        requested_at = clocks.boot_time()
         before = self.choice.current
-        address = self.choice.choose(polled_at)
+        address = self.choice.choose(requested_at)
         if address != before:
-            LOG.info("asks", address=address, before=before)
-        # Held back, an answer proves no more than a quick one.
+            LOG.info("polls", address=address, before=before)
+        # A proof counts from the request, even if the response is held back.
         question = self.question()
         answer = await self.channels.call(
             address, question, question.wait_s + POLL_TRANSIT_S
         )
-        found = answer.ok if answer.is_ok() else None
-        if isinstance(found, watching.News):
+        response = answer.ok if answer.is_ok() else None
+        if isinstance(response, watching.News):
             self.log_connection_change(True, address)
-            self.take(question, found, polled_at)
+            self.take(question, response, requested_at)
             return True
         now = clocks.boot_time()
-        if isinstance(found, watching.AskElsewhere):
-            self.learn_relays(found.relays)
+        if isinstance(response, watching.AskElsewhere):
+            self.learn_relays(response.relays)
             return True
-        hint = found.hint if isinstance(found, outcomes.NotLeader) else ""
+        hint = response.hint if isinstance(response, outcomes.NotLeader) else ""
         self.choice.follow(hint, address, now)
-        reason = answer.error if answer.is_error() else type(found).__name__
+        reason = answer.error if answer.is_error() else type(response).__name__
         self.log_connection_change(False, f"{address}: {reason}")
         return False
 
     def question(self) -> watching.Watch:
-        """Return what is asked."""
+        """Return the next poll request."""
         return watching.Watch(
             member=self.member(),
             attachment=self.choice.attachment,
@@ -149,19 +151,19 @@
         )
 
     def poll_hold_s(self) -> float:
-        """Return for how long an answer without news may be held back."""
+        """Return for how long a response without changes may be held back."""
         gateway = self.gateway
-        used = gateway.view.rotation.uses(gateway.settings.gateway)
-        return POLL_HOLD_S if used else UNUSED_GATEWAY_POLL_HOLD_S
+        is_used = gateway.view.rotation.uses(gateway.settings.gateway)
+        return POLL_HOLD_S if is_used else UNUSED_GATEWAY_POLL_HOLD_S
 
     def backlog_page(self) -> tuple[registry.Announcement, ...]:
-        """Return the announcements of the next request, as known now."""
+        """Return the announcements to send with the next request."""
         if self.backlog.pending:
             self.backlog.refresh(self.gateway.endpoints.everything())
         return self.backlog.page()
 
     def member(self) -> addresses.Member:
-        """Return what the other gateways learn of this one."""
+        """Return this gateway's member record for the other gateways."""
         settings = self.gateway.settings
         return addresses.Member(
             entry=settings.gateway,
@@ -173,16 +175,16 @@
         )
 
     def log_connection_change(self, connected: bool, detail: str) -> None:
-        """Log each lost or regained way to the control state once."""
+        """Log once when the control plane is lost or reached again."""
         if connected != self.connected:
             text = "leader regained" if connected else "leader lost"
             LOG.info(text, detail=detail, version=self.gateway.view.version)
         self.connected = connected
 
     def take(
-        self, question: watching.Watch, news: watching.News, polled_at: float
+        self, question: watching.Watch, news: watching.News, requested_at: float
     ) -> None:
-        """Put the answer to a question in force."""
+        """Apply the response to a poll."""
         gateway = self.gateway
         changes = news.changes
         if news.epoch != self.epoch:
@@ -215,8 +217,8 @@
         )
         if not self.take_routes(question, news):
             return
-        gateway.view.confirm(polled_at - news.proof_age_s)
-        gateway.update_floor_share()
+        gateway.view.confirm(requested_at - news.proof_age_s)
+        gateway.update_slack_share()
         gateway.start_up.on_news(news.registry_age_s, clocks.boot_time())
         if news.proof_age_s > relaychoice.BEHIND_S:
             now = clocks.boot_time()
@@ -228,14 +230,14 @@
             self.choice.avoid(self.choice.current, now)
 
     def learn_relays(self, relays: tuple[watching.Relay, ...]) -> None:
-        """Note relays that can be asked."""
+        """Add relays that can be polled."""
         for relay in relays:
             self.choice.learn(
                 relay.name, relay.address, relay.availability_zone
             )
 
     def take_endpoints(self, changes: watching.Changes) -> None:
-        """Take what is new of endpoints."""
+        """Apply changes of endpoints."""
         gateway = self.gateway
         for announcement in changes.announcements:
             gateway.learn_endpoint(announcement)
@@ -248,7 +250,7 @@
     def take_routes(
         self, question: watching.Watch, news: watching.News
     ) -> bool:
-        """Put newer routes in force; return whether those held are current."""
+        """Apply newer routes; return whether the held ones are current."""
         gateway = self.gateway
         received = self.route_sync.receive(
             gateway.view.config,
@@ -267,7 +269,7 @@
         return received.is_current
 
     async def close(self) -> None:
-        """Stop asking."""
+        """Stop polling."""
         if self.task is not None:
             self.task.cancel()
         await self.channels.close()
--- a/src/_coltsfootroad/gateway/watchdog.py
+++ b/src/_coltsfootroad/gateway/watchdog.py
@@ -1,4 +1,4 @@
-"""Ends sends whose endpoint has fallen silent."""
+"""Ends sends whose endpoint has stopped responding."""
 
 import asyncio
 
@@ -8,11 +8,12 @@
 from _coltsfootroad.gateway import engines
 from _coltsfootroad.shell import clocks
 
-# How soon to look again whether another endpoint could take over, or whether
-# the endpoint has ended; callers of short prompts bear 2 s in all.
+# Interval of the check whether another endpoint is available or the endpoint
+# has restarted; callers of short prompts wait for 2 s in all.
 RECHECK_INTERVAL_S = 0.2
-# A send is given up this long after a later start of its endpoint was heard of,
-# if nothing came since: it may have met that start, or the one that has ended.
+# A send is ended this long after its endpoint is known to have restarted, if no
+# event came since. The send may have reached either incarnation, so the later
+# one gets this time to respond.
 SILENCE_AFTER_RESTART_S = 0.2
 NEVER = float("-inf")
 
@@ -21,8 +22,8 @@
 class Watchdog:
     """Ends a send whose endpoint has been silent for too long.
 
-    Looks again whenever the time may be over, as events reset it and as
-    prompts that the engine has been sent meanwhile explain a pause.
+    The silence is checked again whenever the allowed time may have passed:
+    events reset it, and prompts that the engine received since then extend it.
     """
 
     exchange: object
@@ -36,12 +37,12 @@
         return clocks.boot_time()
 
     def start(self, timeout: asyncio.Timeout) -> None:
-        """Begin to watch."""
+        """Start the checks."""
         self.timeout = timeout
         self.check()
 
     def check(self) -> None:
-        """End the send, or look again when its time may be over."""
+        """End the send, or schedule the next check."""
         now = clocks.boot_time()
         loop = asyncio.get_running_loop()
         silent_s = now - max(self.started_at, self.exchange.reply.last_event_at)
@@ -56,15 +57,19 @@
             self.timer = loop.call_later(RECHECK_INTERVAL_S, self.check)
 
     def allowed_silence_s(self, now: float) -> float:
-        """Return how much silence has a reason that is known.
+        """Return for how long the endpoint may be silent.
 
-        None has once the endpoint has started again, unless something came
-        since: a start that has ended sends nothing.
+        After a restart of the endpoint, only a short time is allowed unless
+        an event came since, as an ended incarnation sends nothing.
         """
         restarted_at = self.restart_seen_at()
-        last_sign = max(self.started_at, self.exchange.reply.last_event_at)
-        if restarted_at >= last_sign:
-            return max(0.0, restarted_at + SILENCE_AFTER_RESTART_S - last_sign)
+        last_activity_at = max(
+            self.started_at, self.exchange.reply.last_event_at
+        )
+        if restarted_at >= last_activity_at:
+            return max(
+                0.0, restarted_at + SILENCE_AFTER_RESTART_S - last_activity_at
+            )
         expected_s = 0.0
         if self.exchange.reply.last_event_at < self.started_at:
             expected_s = self.choice.predicted_s
@@ -78,13 +83,13 @@
         return patience.switch_after_s(self.exchange.route, expected_s)
 
     def restart_seen_at(self) -> float:
-        """Return when a later start of the endpoint was heard of."""
+        """Return when a restart of the endpoint became known, or `NEVER`."""
         endpoints = self.exchange.gateway.endpoints
         if not endpoints.has_restarted(self.choice.endpoint):
             return NEVER
         return endpoints.known[self.choice.endpoint.name].restarted_at
 
     def stop(self) -> None:
-        """Watch no longer."""
+        """Stop the checks."""
         if self.timer is not None:
             self.timer.cancel()
