--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -236,4 +236,4 @@
 def held_back(context, seconds):
     watch = watch_lib.Watch.__new__(watch_lib.Watch)
     watch.gateway = context.gateway
-    assert watch.hold_s() == seconds
+    assert watch.poll_hold_s() == seconds
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -270,4 +270,4 @@
         endpoint=context.scene.earlier, tokens=1_000
     )
     held = memoryreservation.MemoryReservation(gateway, "r", "t", (share,))
-    assert asyncio.run(held.order(share, None)) == 0
+    assert asyncio.run(held.send_request(share, None)) == 0
