--- a/src/_coltsfootroad/gateway/engines.py
+++ b/src/_coltsfootroad/gateway/engines.py
@@ -135,7 +135,7 @@
             if self.endpoints.serves(name, service)
         )
 
-    def remaining_prefill_s(
+    def prefill_left_s(
         self,
         known: endpointset.KnownEndpoint,
         engine: routes.EngineSpec,
--- a/src/_coltsfootroad/gateway/forwarding.py
+++ b/src/_coltsfootroad/gateway/forwarding.py
@@ -34,7 +34,9 @@
     if exchange.admitted.prompt is not None:
         headers[names.urgency] = str(exchange.rank(choice, now))
     if choice.helpers:
-        headers[names.helpers] = ",".join(helper_words(choice, exchange.ticket))
+        headers[names.helpers] = ",".join(
+            helper_values(choice, exchange.ticket)
+        )
     if exchange.reply.last_event is not None:
         headers[names.last_event_id] = str(exchange.reply.last_event)
     return upstream.UpstreamRequest(
@@ -45,13 +47,13 @@
     )
 
 
-def helper_words(choice: engines.Choice, ticket: str) -> list[str]:
+def helper_values(choice: engines.Choice, ticket: str) -> list[str]:
     """Return the helpers' addresses, with the ticket of reserved memory."""
     holding = {share.endpoint.name for share in choice.shares}
-    words = []
+    values = []
     for known in choice.helpers:
-        word = known.announcement.address
+        value = known.announcement.address
         if known.name in holding:
-            word += f"/{ticket}"
-        words.append(word)
-    return words
+            value += f"/{ticket}"
+        values.append(value)
+    return values
--- a/src/_coltsfootroad/gateway/memoryreservation.py
+++ b/src/_coltsfootroad/gateway/memoryreservation.py
@@ -3,7 +3,7 @@
 All reservations are requested at once, and all are released if one is refused.
 No reservation is held while waiting for another, so two long prompts cannot
 deadlock. Each reservation is a short lease that is renewed while the request
-runs, so an engine's memory becomes free by itself if this gateway dies.
+runs, so an engine's memory becomes free by itself if this gateway fails.
 """
 
 import asyncio
@@ -120,7 +120,7 @@
             await self.request_all()
 
     async def release(self) -> None:
-        """Release all reservations; the lease ends those that fail to."""
+        """Release all reservations; a failed release ends with its lease."""
         if self.renewer is not None:
             self.renewer.cancel()
         memory = self.gateway.dialect.memory
--- a/src/_coltsfootroad/gateway/upstream.py
+++ b/src/_coltsfootroad/gateway/upstream.py
@@ -291,8 +291,8 @@
 
 def keep_alive_s(headers) -> float:
     """Return the peer's keep-alive time in seconds."""
-    for word in headers.get("Keep-Alive", "").split(","):
-        name, _, value = word.strip().partition("=")
+    for parameter in headers.get("Keep-Alive", "").split(","):
+        name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
             return float(value)
     return DEFAULT_KEEP_ALIVE_S
--- a/src/_coltsfootroad/gateway/watch.py
+++ b/src/_coltsfootroad/gateway/watch.py
@@ -116,14 +116,14 @@
         if address != before:
             LOG.info("polls", address=address, before=before)
         # A proof counts from the request, even if the response is held back.
-        question = self.question()
+        request = self.question()
         answer = await self.channels.call(
-            address, question, question.wait_s + POLL_TRANSIT_S
+            address, request, request.wait_s + POLL_TRANSIT_S
         )
         response = answer.ok if answer.is_ok() else None
         if isinstance(response, watching.News):
             self.log_connection_change(True, address)
-            self.take(question, response, requested_at)
+            self.take(request, response, requested_at)
             return True
         now = clocks.boot_time()
         if isinstance(response, watching.AskElsewhere):
@@ -182,7 +182,7 @@
         self.connected = connected
 
     def take(
-        self, question: watching.Watch, news: watching.News, requested_at: float
+        self, request: watching.Watch, news: watching.News, requested_at: float
     ) -> None:
         """Apply the response to a poll."""
         gateway = self.gateway
@@ -195,7 +195,7 @@
                 whole=changes.whole,
             )
             gateway.crash_reporter.report_again()
-        self.backlog.settle(question.announcements)
+        self.backlog.settle(request.announcements)
         if changes.whole and self.epoch:
             self.backlog.add_all(gateway.endpoints.everything())
         self.epoch = news.epoch
@@ -215,7 +215,7 @@
             changes.whole,
             0.0 if changes.more else news.registry_age_s,
         )
-        if not self.take_routes(question, news):
+        if not self.take_routes(request, news):
             return
         gateway.view.confirm(requested_at - news.proof_age_s)
         gateway.update_slack_share()
@@ -247,14 +247,12 @@
         for announcement in changes.left:
             gateway.learn_endpoint(announcement)
 
-    def take_routes(
-        self, question: watching.Watch, news: watching.News
-    ) -> bool:
+    def take_routes(self, request: watching.Watch, news: watching.News) -> bool:
         """Apply newer routes; return whether the held ones are current."""
         gateway = self.gateway
         received = self.route_sync.receive(
             gateway.view.config,
-            question.routes_version,
+            request.routes_version,
             news.routes,
             news.routes_delta,
         )
--- a/src/_coltsfootroad/gateway/watchdog.py
+++ b/src/_coltsfootroad/gateway/watchdog.py
@@ -76,10 +76,10 @@
         engine = self.exchange.service.engine
         if engine is not None:
             chooser = self.exchange.gateway.chooser
-            remaining_prefill_s = chooser.remaining_prefill_s(
+            prefill_left_s = chooser.prefill_left_s(
                 self.choice.endpoint, engine, now
             )
-            expected_s = max(expected_s, remaining_prefill_s)
+            expected_s = max(expected_s, prefill_left_s)
         return patience.switch_after_s(self.exchange.route, expected_s)
 
     def restart_seen_at(self) -> float:
