--- a/features/gateway/crashes.feature
+++ b/features/gateway/crashes.feature
@@ -1,16 +1,16 @@
-Feature: A gateway tells crashes of endpoints from connections that break
+Feature: A gateway distinguishes endpoint crashes from broken connections
 
   Scenario Outline: An endpoint that will <act> with <sends> requests in flight
     When an endpoint with <sends> requests in flight will <act>
     Then it counts as crashed: <crashed>, with <suspects> suspects
 
-    Examples: a process that ends is a crash, once
+    Examples: the end of a process is one crash
       | act                   | sends | crashed | suspects |
       | crash                 | 1     | yes     | 1        |
       | crash                 | 5     | yes     | 5        |
       | restart under its name | 2    | yes     | 2        |
 
-    Examples: what is no crash
+    Examples: not a crash
       | act                   | sends | crashed | suspects |
       | break connections off | 3     | no      | 0        |
       | leave, then end       | 3     | no      | 0        |
@@ -18,7 +18,7 @@
       | lose its network      | 3     | no      | 0        |
 
   Scenario Outline: The fingerprint of a request that differs in its <part>
-    When two requests differ in nothing but their <part>
+    When two requests differ only in their <part>
     Then their fingerprints differ
 
     Examples:
@@ -30,8 +30,8 @@
       | workspace |
       | body      |
 
-  Scenario: Parts of a request that run into each other are told apart
-    When the end of the path of a request is the start of another's body
+  Scenario: The boundary between path and body changes the fingerprint
+    When the end of one request's path is the start of another's body
     Then their fingerprints differ
 
   Scenario: The same request has the same fingerprint at every gateway
--- a/features/gateway/directory.feature
+++ b/features/gateway/directory.feature
@@ -1,8 +1,8 @@
-Feature: Which gateways callers of a zone are sent to
+Feature: Gateway addresses for the callers of a zone
 
-  Scenario Outline: <near> gateways in a zone of <all>
+  Scenario Outline: <near> local gateways out of <all>
     Given zones a, b and c with <sizes> gateways
-    Then callers of zone <zone> get <near> near and <far> far ones
+    Then callers of zone <zone> get <near> local and <far> remote gateways
 
     Examples:
       | sizes  | zone | near | far | all |
@@ -14,7 +14,7 @@
       | 1 0 0  | b    | 0    | 1   | 1   |
       | 80 0 0 | a    | 64   | 0   | 80  |
 
-  Scenario: The far ones are drawn apart for each zone and stay the same
+  Scenario: Remote gateways differ between zones and rarely change
     Given zones a, b and c with 9 1 1 gateways
-    Then callers of zones b and c do not all get the same far ones
-    And callers of a zone get the same when a far one is lost, but for that one
+    Then callers of zones b and c get different remote gateways
+    And callers of a zone keep the other remote gateways when one is lost
--- a/features/gateway/parts.feature
+++ b/features/gateway/parts.feature
@@ -1,7 +1,7 @@
-Feature: The parts of a gateway that need no network
+Feature: Parts of a gateway that need no network
 
-  Scenario Outline: Only whole events are passed on: <text>
-    Then bytes <text> make <whole> whole events
+  Scenario Outline: Only complete events are forwarded: <text>
+    Then bytes <text> make <whole> complete events
 
     Examples:
       | text                                 | whole |
@@ -23,11 +23,11 @@
       | a place that is taken    | another route      |
       | a shared key             | share a key        |
 
-  Scenario: A valid version is taken
+  Scenario: A valid version is accepted
     Then a valid version is not refused
 
-  Scenario Outline: The longest prefix that begins the path decides
-    Then of prefixes <prefixes> the path <path> takes <wanted>
+  Scenario Outline: The longest matching prefix determines the route
+    Then with prefixes <prefixes> the path <path> is routed to <wanted>
 
     Examples:
       | prefixes   | path   | wanted |
@@ -37,7 +37,7 @@
       | /a/         | /b     | none   |
 
   Scenario Outline: Weights split a route's requests
-    Then a split of <a> to <b> gives the first about <percent>%
+    Then weights <a> and <b> give the first about <percent>%
 
     Examples:
       | a  | b  | percent |
@@ -45,7 +45,7 @@
       | 1  | 1  | 50      |
       | 0  | 1  | 0       |
 
-  Scenario Outline: A version never goes back
+  Scenario Outline: An older version never replaces a newer one
     Then versions <given> in turn leave <wanted> in force
 
     Examples:
@@ -54,8 +54,8 @@
       | 4 4   | 4      |
       | 2 9   | 9      |
 
-  Scenario Outline: Freshness counts from before it was asked for
-    Then a proof asked for <age> s ago is <state>
+  Scenario Outline: The age of a proof counts from its request
+    Then a proof requested <age> s ago is <state>
 
     Examples:
       | age | state |
@@ -73,7 +73,7 @@
       | 9        | 50       | 110  |
       | 96       | 5        | 58   |
 
-  Scenario Outline: An endpoint that leaves never comes back
+  Scenario Outline: An endpoint that has left is not used again
     Then an endpoint that was <before> and is announced <after> is <state>
 
     Examples:
@@ -84,7 +84,7 @@
       | gone    | serving | unused |
       | serving | silent  | unused |
 
-  Scenario Outline: Summaries of other gateways replace each other in order
+  Scenario Outline: Load summaries of another gateway are applied in order
     Then a summary numbered <later> after <earlier> is <taken>
 
     Examples:
@@ -93,8 +93,8 @@
       | 4     | 5       | dropped |
       | 4     | 4       | dropped |
 
-  Scenario Outline: Lost datagrams are healed by the next full summary
-    Then after the datagrams <datagrams> the work known is <known>
+  Scenario Outline: The next full summary corrects the effect of lost datagrams
+    Then after the datagrams <datagrams> the known work is <known>
 
     Examples:
       | datagrams            | known |
@@ -105,18 +105,18 @@
       | new:1 restart:7      | 7     |
       | all:1 new:2 end:1    | 2     |
 
-  Scenario: Own work is told as it changes
-    Then own work is told once when it changes and whole when asked for
+  Scenario: Changes of own work are sent once
+    Then own work is sent once when it changes and completely on request
 
-  Scenario Outline: What a silent gateway had sent is forgotten
-    Then a gateway that is silent for <seconds> s counts <count> pieces
+  Scenario Outline: The work of a silent gateway expires
+    Then a gateway that is silent for <seconds> s counts <count> work items
 
     Examples:
       | seconds | count |
       | 1.0     | 1     |
       | 3.0     | 0     |
 
-  Scenario Outline: An endpoint rests when it cannot be reached or loses two
+  Scenario Outline: An endpoint is ejected if it is unreachable or loses two requests
     Then <kind> failures <count> in a row make an endpoint <state>
 
     Examples:
@@ -125,7 +125,7 @@
       | lost        | 1     | used    |
       | lost        | 2     | resting |
 
-  Scenario Outline: What is remembered of endpoints is bounded
+  Scenario Outline: The state that is kept about endpoints is bounded
     Then <what> stays at or below <most>
 
     Examples:
--- a/features/gateway/promises.feature
+++ b/features/gateway/promises.feature
@@ -1,20 +1,20 @@
-Feature: Promises that rest on one line of the gateway each
+Feature: Guarantees that each depend on one line of the gateway
 
-  Scenario: Memory set aside for a prompt is freed when its request ends
-    When a prompt above one engine's memory is served
-    Then each ticket that was taken is given back
+  Scenario: Memory reserved for a prompt is released when its request ends
+    When a prompt that exceeds one engine's memory is served
+    Then each reservation that was made is released
 
-  Scenario: The proof of a version counts from the asking
-    When a leader answers a watch 0.3 s after it was asked
+  Scenario: The age of a proof counts from the request of the watch
+    When a leader responds to a watch 0.3 s after its request
     Then the proof is at least 0.3 s old
 
-  Scenario: Nothing is sent on a proof that has become too old meanwhile
-    When the proof ends while a first endpoint loses a safe request
-    Then the second endpoint gets nothing
+  Scenario: Nothing is sent after the proof has expired during an earlier send
+    When the proof expires while a first endpoint loses a safe request
+    Then the second endpoint gets no request
 
-  Scenario Outline: A <kind> request whose endpoint starts again meanwhile
+  Scenario Outline: A <kind> request whose endpoint restarts during the send
     When a <kind> request is at an endpoint that restarts under its name
-    Then the caller gets <status> and the answer is whole
+    Then the caller gets <status> and the response is whole
     And <sends> sends were made
     And the answer came within 1 s
 
@@ -23,24 +23,24 @@
       | stream | 200    | 2     |
       | safe   | 200    | 2     |
 
-  # Guards against a stream that is cut off or sent twice as its endpoint's start
-  # became known only after the send to it.
-  Scenario: A stream at a start that is heard of later stays there
-    When a stream pauses for 0.5 s at a start that is heard of 0.05 s after the send
-    Then the caller gets 200 and the answer is whole
+  # Guards against a stream that is cut off or sent twice because its endpoint's
+  # restart became known only after the send.
+  Scenario: A stream stays at an endpoint whose restart becomes known later
+    When a stream pauses for 0.5 s at an endpoint whose restart becomes known 0.05 s after the send
+    Then the caller gets 200 and the response is whole
     And the events are 1 2 3 4
     And 1 sends were made
 
-  Scenario: What must not run twice is not sent to the later start
+  Scenario: An unsafe request is not sent again after a restart
     When an unsafe request is at an endpoint that restarts under its name
-    Then the caller gets 504 and the answer is whole
+    Then the caller gets 504 and the response is whole
     And 1 sends were made
 
-  # Guards against streams that are cut off behind endpoints that are only slow: the
-  # silent one was given up before it was known that no other may take over.
-  Scenario Outline: A stream whose endpoint pauses goes on there where <hindrance>
-    When a stream pauses for 1.3 s at its endpoint where <hindrance>
-    Then the caller gets 200 and the answer is whole
+  # Guards against cutting off streams of endpoints that are only slow: the send was
+  # cancelled before it was known that no other endpoint may be tried.
+  Scenario Outline: A stream whose endpoint pauses continues there if <hindrance>
+    When a stream pauses for 1.3 s at its endpoint while <hindrance>
+    Then the caller gets 200 and the response is whole
     And the events are 1 2 3 4
     And 1 sends were made
 
@@ -50,19 +50,20 @@
       | the routes are proved no longer  |
       | no other endpoint runs           |
 
-  Scenario: A stream whose endpoint pauses goes on at another one
-    When a stream pauses for 1.3 s at its endpoint where another one runs
-    Then the caller gets 200 and the answer is whole
+  Scenario: A stream whose endpoint pauses continues at another endpoint
+    When a stream pauses for 1.3 s at its endpoint while another one runs
+    Then the caller gets 200 and the response is whole
     And the events are 1 2 3 4
     And 2 sends were made
 
-  Scenario: What was held while the gateway started is not sent away for that
-    When a prompt is held for 0.5 s beside 6 that are late, and 8 places are free
-    Then the caller gets 200 and the answer is whole
+  Scenario: A prompt that was held during the start is not shed for the wait
+    When a prompt is held for 0.5 s beside 6 late ones, and 8 batch slots are free
+    Then the caller gets 200 and the response is whole
 
-  # Guards against a version that ends what would bring the next one.
-  Scenario: A version that cannot be applied keeps no later one away
-    Given 3 gateways before 6 engines
+  # Guards against a version that fails to apply and so ends the watch, which
+  # would bring the next version.
+  Scenario: A version that cannot be applied does not block later ones
+    Given 3 gateways in front of 6 engines
     When a version comes that fails to apply, and 1 s later another one
     Then all gateways serve the last version within 1 s
-    And none of them called the version before it current meanwhile
+    And no gateway counted the version before it as current meanwhile
--- a/features/gateway/quarantine.feature
+++ b/features/gateway/quarantine.feature
@@ -1,18 +1,18 @@
-Feature: A request that crashes what runs it is not sent on for good
-
-  # Guards against a request that comes again at any gateway, as a new client
-  # attempt each time, and crashes one endpoint after another.
-  Scenario: A request that crashes each endpoint comes again at any gateway
-    Given 9 gateways before 16 engines
-    When a poison request comes each 0.2 s for 20 s, beside proper ones
-    Then it reaches engines at most 3 times more than 3 s after its third crash
-
-  # Guards against bounds that hold only while the fleet is calm.
-  Scenario Outline: <poisons> poison requests, each <every> s, beside <trouble>
-    Given 9 gateways before 16 engines
-    When <poisons> poison requests come each <every> s beside <trouble>
-    Then each reaches engines at most 3 times more than 3 s after its third crash
-    And at most <most> engines end under each
+Feature: A request that crashes endpoints is quarantined
+
+  # Guards against a request that is sent to any gateway, as a new client attempt
+  # each time, and crashes one endpoint after another.
+  Scenario: A request that crashes each endpoint is sent to any gateway
+    Given 9 gateways in front of 16 engines
+    When a poison request is sent every 0.2 s for 20 s, beside proper ones
+    Then it reaches engines at most 3 times later than 3 s after its third crash
+
+  # Guards against bounds that hold only without faults and high load.
+  Scenario Outline: <poisons> poison requests, every <every> s, beside <trouble>
+    Given 9 gateways in front of 16 engines
+    When <poisons> poison requests are sent every <every> s beside <trouble>
+    Then each reaches engines at most 3 times later than 3 s after its third crash
+    And each crashes at most <most> engines
     And no proper request is in quarantine
 
     Examples:
@@ -31,11 +31,11 @@
       | 1       | 0.2   | a relay that is cut off         | 4    |
       | 1       | 0.2   | a new leader without a copy     | 4    |
 
-  # Guards against popular requests in flight at each crash of some poison
-  # requests that take turns, at few engines.
-  Scenario Outline: <poisons> poison requests each <every> s and <popular> popular ones, seed <seed>
-    Given 3 gateways before 6 engines, which start again within 1 s, seed <seed>
-    When <poisons> poison requests come each <every> s beside <popular> popular ones
+  # Guards against quarantining popular requests: with few engines, they are in
+  # flight at each crash of alternating poison requests.
+  Scenario Outline: <poisons> poison requests every <every> s and <popular> popular ones, seed <seed>
+    Given 3 gateways in front of 6 engines that restart within 1 s, seed <seed>
+    When <poisons> poison requests are sent every <every> s beside <popular> popular ones
     Then no proper request is in quarantine
     And <share> in 100 proper requests are answered
 
@@ -47,11 +47,11 @@
       | 3       | 0.2   | 3       | 1    | 80    |
       | 3       | 0.2   | 3       | 4    | 80    |
 
-  # Guards against storms in which no engine lives for 0.1 s: all suspects share all
-  # crashes unless they are kept apart, and counts decide who is refused.
-  Scenario Outline: <poisons> poison requests each <every> s before <engines> engines, seed <seed>
-    Given 3 gateways before <engines> engines, which start again within 1 s, seed <seed>
-    When <poisons> poison requests come each <every> s beside 3 popular ones
+  # Guards against crash loops in which no engine runs for 0.1 s: all suspects share
+  # all crashes unless they are isolated, and only counts decide which is refused.
+  Scenario Outline: <poisons> poison requests every <every> s with <engines> engines, seed <seed>
+    Given 3 gateways in front of <engines> engines that restart within 1 s, seed <seed>
+    When <poisons> poison requests are sent every <every> s beside 3 popular ones
     Then no proper request is in quarantine
     And <share> in 100 proper requests are answered
 
@@ -66,10 +66,10 @@
       | 5       | 3       | 0.066 | 2    | 70    |
       | 5       | 3       | 0.066 | 3    | 70    |
 
-  # Guards against a quarantine that proper requests enter.
+  # Guards against quarantining proper requests.
   Scenario Outline: Proper requests are never in quarantine beside <trouble>
-    Given 9 gateways before 16 engines
-    When proper requests come for 12 s beside <trouble>
+    Given 9 gateways in front of 16 engines
+    When proper requests are sent for 12 s beside <trouble>
     Then no proper request is in quarantine
     And <share> in 100 proper requests are answered
 
@@ -82,7 +82,7 @@
       | engines that go dark     | 90    |
       | engines that end at random, and a popular proper request | 95 |
 
-  # Guards against clearing a suspect only where its crashes were seen.
+  # Guards against clearing a suspect only at the gateway that saw its crashes.
   Scenario Outline: A popular request is answered between crashes, at <gateways> gateways
     Then no proper request is in quarantine where <gateways> gateways share one
 
@@ -91,31 +91,31 @@
       | 1        |
       | 2        |
 
-  Scenario: Trials of a request that still crashes endpoints are bounded
-    Given 3 gateways before 6 engines
-    When a poison request comes each 0.5 s for 600 s
-    Then 3 trials were started and at most 6 engines ended
+  Scenario: The number of trials of a request that still crashes endpoints is bounded
+    Given 3 gateways in front of 6 engines
+    When a poison request is sent every 0.5 s for 600 s
+    Then 3 trials were started and at most 6 engines crashed
 
-  Scenario: A request whose cause was fixed is answered after one trial
-    Given 3 gateways before 6 engines
+  Scenario: A request that no longer crashes endpoints is served after one trial
+    Given 3 gateways in front of 6 engines
     When a poison request is fixed 20 s after its third crash
-    Then it is refused for 60 s in all, and answered from then on
+    Then it is refused for 60 s in all, and then answered
     And a new leader that knows no crash answers it as well
 
-  Scenario: Requests that run or wait when the quarantine begins are stopped
-    Given 3 gateways before 6 engines
+  Scenario: Requests in flight are stopped when their quarantine begins
+    Given 3 gateways in front of 6 engines
     When a request that runs at 3 engines enters quarantine
-    Then all 3 callers get their answer within 0.1 s
+    Then all 3 callers get a response within 0.1 s
     And no engine is sent the request again
 
-  Scenario: A refusal says that nothing ran and when to come back
-    Given 3 gateways before 6 engines
-    When a request in quarantine comes to each gateway
-    Then each answers 503 at once, with a time to come back
+  Scenario: A refusal states that nothing ran and a retry delay
+    Given 3 gateways in front of 6 engines
+    When a request in quarantine is sent to each gateway
+    Then each responds with 503 at once, with a retry delay
     And the same request of another workspace is answered
     And the same body on another path is answered
 
-  Scenario: A request of another size costs no digest
-    Given 3 gateways before 6 engines
-    When 100 requests of other sizes come beside one in quarantine
+  Scenario: No digest is computed for a request of another size
+    Given 3 gateways in front of 6 engines
+    When 100 requests of other sizes are sent beside one in quarantine
     Then no digest was computed
--- a/features/gateway/quarantinedefects.feature
+++ b/features/gateway/quarantinedefects.feature
@@ -1,7 +1,7 @@
-Feature: Defects of the quarantine do not go unnoticed
+Feature: The checks detect defects of the quarantine
 
-  # Guards against checks that would pass without the quarantine.
-  Scenario Outline: A planted defect is caught: <defect>
+  # Guards against checks that pass although the quarantine is broken.
+  Scenario Outline: An injected defect is detected: <defect>
     When the defect "<defect>" is in the quarantine
     Then a history of crashes fails
 
--- a/features/gateway/requests.feature
+++ b/features/gateway/requests.feature
@@ -1,19 +1,19 @@
-Feature: A gateway gives each request one true answer
+Feature: A gateway gives each request one correct response
 
   Scenario Outline: A <kind> request at endpoints that <first>, then <second>
     When a <kind> request meets endpoints that <first> and then <second>
-    Then the caller gets <status> and the answer is <whole>
+    Then the caller gets <status> and the response is <whole>
     And <sends> sends were made
     And at most 2 endpoints ran it
 
-    Examples: what did not run may be sent again, at whatever kind
+    Examples: a request that did not run may be sent again, whatever its kind
       | kind   | first  | second | status | whole | sends |
       | safe   | answer | answer | 200    | whole | 1     |
       | unsafe | answer | answer | 200    | whole | 1     |
       | safe   | reject | answer | 200    | whole | 2     |
       | unsafe | reject | answer | 200    | whole | 2     |
 
-    Examples: what may have run is sent again only if it may run twice
+    Examples: a request that may have run is sent again only if it may run twice
       | kind   | first        | second | status | whole | sends |
       | safe   | reset        | answer | 200    | whole | 2     |
       | unsafe | reset        | answer | 502    | whole | 1     |
@@ -34,7 +34,7 @@
       | unsafe | reject       | reset  | 502    | whole | 2     |
       | unsafe | reject       | truncate | 502  | whole | 2     |
 
-    Examples: an endpoint that falls silent
+    Examples: an endpoint that stops responding
       | kind   | first | second | status | whole | sends |
       | safe   | hang  | answer | 200    | whole | 2     |
       | unsafe | hang  | answer | 504    | whole | 1     |
@@ -42,7 +42,7 @@
       | stream | hang  | stream | 200    | whole | 2     |
       | stream | hang  | hang   | 504    | whole | 2     |
 
-    Examples: odd but whole answers
+    Examples: unusual but complete responses
       | kind   | first    | second | status | whole | sends |
       | safe   | unframed | answer | 200    | whole | 1     |
       | unsafe | unframed | answer | 200    | whole | 1     |
@@ -50,7 +50,7 @@
 
   Scenario Outline: A stream whose endpoint will <first>, then <second>
     When a stream request meets endpoints that <first> and then <second>
-    Then the caller gets 200 and the answer is <whole>
+    Then the caller gets 200 and the response is <whole>
     And the events are <events>
 
     Examples:
@@ -65,7 +65,7 @@
   Scenario Outline: A <kind> request with <fault> is refused at once
     When a <kind> request comes with <fault>
     Then the caller gets <status> at once and nothing is sent
-    And the refusal says when to come back: <back>
+    And the refusal states a retry delay: <back>
 
     Examples:
       | kind   | fault                         | status | back |
@@ -79,17 +79,17 @@
       | stream | no endpoint alive             | 503    | yes  |
       | stream | the gateway stopping for long | 503    | yes  |
 
-  Scenario: Headers that only the gateway may set are the gateway's
-    When a caller sends headers of its own for what the gateway sets
-    Then the endpoint sees the gateway's word and the rest unchanged
+  Scenario: Callers cannot set headers that are reserved for the gateway
+    When a caller sends headers that only the gateway may set
+    Then the endpoint gets the gateway's values and the rest unchanged
 
-  Scenario: Work for a caller that has left is stopped
-    When a caller leaves while an endpoint works
+  Scenario: The request of a caller that disconnects is cancelled
+    When a caller disconnects while an endpoint runs its request
     Then the endpoint's connection is closed within half a second
 
-  Scenario: A second answer on a kept connection reaches nobody
+  Scenario: A second response on a reused connection is discarded
     When two safe requests follow each other and the first is answered twice
-    Then the caller gets 200 and the answer is whole
+    Then the caller gets 200 and the response is whole
     And 2 sends were made
 
   Scenario Outline: A gateway that has just started holds a request briefly
--- a/features/gateway/retrybudget.feature
+++ b/features/gateway/retrybudget.feature
@@ -1,7 +1,7 @@
 Feature: Retries of all gateways stay within the fleet's budget
 
   # Guards against refusals that cannot be explained from the log.
-  Scenario Outline: A retry that is <outcome> is logged with what decided it
+  Scenario Outline: A retry that is <outcome> is logged with the state of the budget
     Given a gateway whose retry budget is <budget>
     When each of two endpoints rejects a request once
     Then "retry <outcome>" is logged with the request, service, budget, share and age
@@ -13,9 +13,9 @@
       | reserved | full    | colts_gateway_retries         | 2     |
       | refused  | used up | colts_gateway_retries_refused | 1     |
 
-  # Guards against callers that are refused for a budget which nothing has used: a
-  # send that reached no endpoint was charged like an arrival.
-  Scenario Outline: Only arrivals beyond the first are charged where endpoints <acts>
+  # Guards against refusals although the budget is unused: a send that reached no
+  # endpoint was charged like one that arrived.
+  Scenario Outline: Only sends that arrive after the first one are charged if endpoints <acts>
     Given a gateway whose retry budget is full
     When a safe request meets endpoints that <acts> in turn
     Then it arrived <arrivals> times and <charged> retries were charged
@@ -49,12 +49,12 @@
       | reject, answer     | 1        | 503    |
       | reset, answer      | 1        | 502    |
 
-  Scenario Outline: A gateway whose part is used up, and the leader <does>
+  Scenario Outline: A gateway whose share is used up, and the leader <does>
     Given a gateway whose retry budget is used up
     And the leader <does>
     When each of <count> requests in turn is rejected once by its endpoint
     Then <served> of them are answered and the others refused with 503
-    And the leader was asked at most <asked> times, each time for what was refused
+    And the leader got at most <asked> requests, each for refused retries
 
     Examples:
       | does           | count | served | asked |
--- a/features/gateway/spread.feature
+++ b/features/gateway/spread.feature
@@ -1,68 +1,68 @@
-Feature: Long prompts are read where they make no short stream late
+Feature: Long prompts are prefilled where they delay no short stream
 
-  Scenario: A long prompt goes to the engines where nobody writes
-    Given engines that write 4 4 4 4 0 0 0 0 short streams
+  Scenario: A long prompt goes to the engines without decoding streams
+    Given engines that decode 4 4 4 4 0 0 0 0 short streams
     When a long prompt is placed
-    Then no short stream pauses for longer than its aim
+    Then no short stream pauses for longer than its gap target
     And its first event is predicted within 3 s
 
-  Scenario: A medium prompt among writers is read in parts that fit a pause
-    Given engines that write 3 3 3 3 3 3 short streams
+  Scenario: A medium prompt on decoding engines is prefilled within the gap target
+    Given engines that decode 3 3 3 3 3 3 short streams
     When a 45k prompt is placed
-    Then no short stream pauses for longer than its aim
+    Then no short stream pauses for longer than its gap target
     And its first event is predicted within 1.5 s
 
-  Scenario: Short streams gather, so that other engines stay free
-    Given engines that write 3 0 0 0 short streams
+  Scenario: Short streams share engines, so that other engines stay free
+    Given engines that decode 3 0 0 0 short streams
     When a short prompt is placed
     Then it goes to e0
 
   Scenario: A full batch takes no further short stream
-    Given engines that write 8 0 short streams
+    Given engines that decode 8 0 short streams
     When a short prompt is placed
     Then it goes to e1
 
-  Scenario Outline: The last place of a batch is left to nobody, if another is free
-    Given engines that write <writing> short streams
+  Scenario Outline: The last slot of a batch stays free if another engine has a free slot
+    Given engines that decode <writing> short streams
     When a short prompt is placed
     Then it goes to <engine>
 
-    Examples: an idle engine is kept for long prompts rather than a last place
+    Examples: an idle engine is kept for long prompts rather than a last slot
       | writing | engine |
       | 7 3 7   | e1     |
       | 7 7 6   | e2     |
       | 7 0 8   | e0     |
 
-  Scenario Outline: <gateways> gateways that hear of each other late
+  Scenario Outline: <gateways> gateways that learn of each other's work late
     Given the load "<load>" of seeds 0 and 1 at <gateways> gateways
-    Then callers gain within 0.01 of what they gain from one that knows all
+    Then the gain is within 0.01 of the gain with one gateway that knows all work
 
     Examples:
       | load       | gateways |
       | large      | 38       |
       | large-back | 38       |
 
-  Scenario: A prompt above one engine's memory is held by several
-    Given engines that write 2 2 0 0 0 0 short streams
+  Scenario: A prompt that exceeds one engine's memory is held by several
+    Given engines that decode 2 2 0 0 0 0 short streams
     When a million prompt is placed
-    Then the memory of the prompt is held whole by tickets and first engine
+    Then tickets and the lead engine hold all memory of the prompt
 
-  Scenario: Prompts at one engine are read one after the other
+  Scenario: Prompts at one engine are prefilled one after the other
     Given an engine that was sent 3 prompts of 210000 tokens 2 s ago
-    Then it will read for 6 to 7 s more
+    Then its remaining prefill takes 6 to 7 s
 
-  Scenario: A prompt that writes already is read no longer
-    Given an engine whose 2 prompts of 210000 tokens write
-    Then it will read for 0 to 0 s more
+  Scenario: A prompt that is decoding needs no more prefill
+    Given an engine whose 2 prompts of 210000 tokens are decoding
+    Then its remaining prefill takes 0 to 0 s
 
-  Scenario: A prompt over the batch waits until another has ended
-    Given engines that write 10 0 short streams
+  Scenario: A prompt beyond the batch slots waits until a stream has ended
+    Given engines that decode 10 0 short streams
     When a short prompt is placed
     Then it goes to e1
-    And an engine with 10 streams answers later than one with 7 by 0.7 s
+    And the first event at 10 streams is at least 0.7 s later than at 7
 
-  Scenario Outline: At a full engine those that can be on time go first
-    Then a request of aim <aim> s that waited <waited> s ranks <rank>
+  Scenario Outline: At a full engine, requests that can meet their target go first
+    Then a request with target <aim> s that waited <waited> s ranks <rank>
 
     Examples:
       | aim | waited | rank |
@@ -72,9 +72,9 @@
       | 3.0 | 0.3    | 3    |
       | 3.0 | 3.0    | 4    |
 
-  Scenario Outline: An answer that will begin soon is not paused by more reading
-    Given an engine that reads a prompt whose pauses may last <gap> s
-    Then reading for <extra> s more loses <lost>
+  Scenario Outline: Further prefill beyond the gap target of a prompt counts as a loss
+    Given an engine that prefills a prompt with a gap target of <gap> s
+    Then further prefill for <extra> s loses <lost>
 
     Examples:
       | gap | extra | lost  |
@@ -82,9 +82,9 @@
       | 0.8 | 0.9   | 22    |
       | 0.2 | 0.2   | 22    |
 
-  Scenario Outline: Who is late already does not stand before who is not
-    Given an engine with <writing> streams and <late> that are late and wait
-    Then a short prompt's first event is predicted <when> its aim
+  Scenario Outline: Late requests do not delay requests that can meet their target
+    Given an engine with <writing> streams and <late> late requests that wait
+    Then a short prompt's first event is predicted <when> its target
 
     Examples:
       | writing | late | when   |
@@ -92,9 +92,9 @@
       | 7       | 20   | within |
       | 8       | 0    | after  |
 
-  Scenario Outline: A short prompt is sent away when a queue makes it late
+  Scenario Outline: A short prompt is shed when a queue makes it late
     When a <size> prompt that <state> is predicted after <predicted> s
-    And <waiting> late requests wait at 100 places
+    And <waiting> late requests wait for 100 batch slots
     Then the short prompt is <verdict>
 
     Examples:
@@ -106,9 +106,9 @@
       | 5000   | comes back          | 0.5       | 31      | sent away |
       | 210000 | comes first         | 9.0       | 50      | sent      |
 
-  Scenario Outline: What a mix that swings between lengths gains
+  Scenario Outline: Gain with a mix whose prompt lengths vary over time
     Given the load "<load>" of seeds 0 and 1
-    Then callers gain at least <whole> of the whole and <short> of short ones
+    Then the gain is at least <whole> in all and <short> for short prompts
 
     Examples:
       | load       | whole | short |
--- a/features/gateway/startshare.feature
+++ b/features/gateway/startshare.feature
@@ -1,7 +1,7 @@
-Feature: Gateways that start at once do not pile prompts on the first engines
+Feature: Gateways that start together do not overload the first engines
 
-  Scenario Outline: <gateways> gateways know <places> places after a start
-    Then each of <gateways> gateways that know <places> places sends <prompts>
+  Scenario Outline: <gateways> gateways know <places> batch slots after a start
+    Then each of <gateways> gateways that know <places> batch slots sends <prompts>
 
     Examples:
       | gateways | places | prompts |
@@ -11,11 +11,11 @@
       | 38       | 290    | 3       |
       | 38       | 560    | 7       |
 
-  Scenario Outline: What was held by 38 gateways while <known> of 112 engines are known
-    Given 38 gateways that hold 4 short prompts each and hear nothing of others
-    When they let prompts go to <known> engines
+  Scenario Outline: Prompts held by 38 gateways while <known> of 112 engines are known
+    Given 38 gateways that hold 4 short prompts each and do not exchange load
+    When they send prompts to <known> engines
     Then at most <queued> in 100 prompts meet a full engine
-    And at least <sent> prompts were let go
+    And at least <sent> prompts were sent
 
     Examples:
       | known | queued | sent |
--- a/features/steps/batchengine_steps.py
+++ b/features/steps/batchengine_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the engine of virtual time and on whole loads played on it."""
+"""Steps for the simulated engine and for complete loads that run on it."""
 
 import random
 
@@ -20,10 +20,10 @@
 PLENTY = 100_000
 
 
-def run_until(engine, holds) -> float:
-    """Run passes until something holds; return the time."""
+def run_until(engine, condition) -> float:
+    """Run the engine until a condition holds; return the time."""
     now = 0.0
-    while not holds():
+    while not condition():
         assert not engine.is_idle
         now = engine.run_pass(now)
     return now
@@ -36,7 +36,7 @@
     context.engine = batchengine.BatchEngine(SPEC)
     context.job = batchengine.Job(tokens, 460, unread=parts)
     context.engine.submit(context.job, parts)
-    # The other parts are read elsewhere and end no later than this one.
+    # Other engines prefill the other parts, no slower than this one.
     context.job.unread = 1
 
 
@@ -113,34 +113,36 @@
 
 
 def work(**changes) -> work_lib.Work:
-    """Return a request at the engine `e0`."""
+    """Return a work item at the engine `e0`."""
     return work_lib.Work(
         **{"endpoint": "e0", "prompt_tokens": 5_000, "output_tokens": 1_600}
         | changes
     )
 
 
-@given("an engine that reads a prompt whose pauses may last {gap:g} s")
+@given("an engine that prefills a prompt with a gap target of {gap:g} s")
 def engine_reading(context, gap):
     reading = work(prompt_tokens=210_000, gap_target_s=gap, value=LONG_VALUE)
     context.state = enginestate.engine_state("e0", [reading], SPEC, 0.0)
 
 
-@then("reading for {extra:g} s more loses {lost:g}")
+@then("further prefill for {extra:g} s loses {lost:g}")
 def loses(context, extra, lost):
     found = context.state.harm(extra)
     assert found == lost, found
 
 
-@given("an engine with {writing:d} streams and {late:d} that are late and wait")
+@given(
+    "an engine with {writing:d} streams and {late:d} late requests that wait"
+)
 def engine_with_late(context, writing, late):
     works = [work(writing=True, gap_target_s=0.2) for _ in range(writing)]
-    # Sent long ago: what they have to read is no part of the question.
+    # Sent long ago, so that no prefill remains for them.
     works += [work(late=True, sent_at=-60.0) for _ in range(late)]
     context.state = enginestate.engine_state("e0", works, SPEC, 0.0)
 
 
-@then("a short prompt's first event is predicted {when_} its aim")
+@then("a short prompt's first event is predicted {when_} its target")
 def predicted_within(context, when_):
     prompt = spread.Prompt(
         prompt_tokens=5_000, output_tokens=1_600, target_s=0.3, gap_target_s=0.2
@@ -159,7 +161,7 @@
     )
 
 
-@when("{waiting:d} late requests wait at {places:d} places")
+@when("{waiting:d} late requests wait for {places:d} batch slots")
 def late_wait(context, waiting, places):
     context.again_s = shedding.come_back_s(
         context.candidate, waiting, places, random.Random(1)
@@ -185,16 +187,17 @@
     context.load = load
 
 
-@then("callers gain within {most:g} of what they gain from one that knows all")
+@then(
+    "the gain is within {most:g} of the gain with one gateway that"
+    " knows all work"
+)
 def near_full_knowledge(context, most):
     best = placement.gains(context.load, 2)
     for name in ("whole", "short"):
         assert context.gains[name] >= best[name] - most, (best, context.gains)
 
 
-@then(
-    "callers gain at least {whole:g} of the whole and {short:g} of short ones"
-)
+@then("the gain is at least {whole:g} in all and {short:g} for short prompts")
 def callers_gain(context, whole, short):
     found = context.gains
     assert found["whole"] >= whole, found
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -1,4 +1,4 @@
-"""Steps on crashes of endpoints."""
+"""Steps for crashes of endpoints."""
 
 import asyncio
 import contextlib
@@ -14,9 +14,9 @@
 from _coltsfootroad.gateway import endpointprobe
 from features.steps import gateway_steps
 
-# A probe waits and connects; nothing is left to find out after this time.
+# Margin after a probe's time-out; its result is known by then.
 SETTLED_S = 0.15
-# Connections that fill the queue of a listener with the shortest backlog.
+# Connections that fill the accept queue of a listener with backlog 0.
 FULL_BACKLOG = 4
 REQUEST = {
     "method": "POST",
@@ -37,7 +37,7 @@
 
 @contextlib.contextmanager
 def silent_listener():
-    """Yield an address at which connection attempts get no answer."""
+    """Yield an address at which connection attempts time out."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
@@ -51,13 +51,13 @@
 
 
 async def until_in_flight(endpoint, count: int) -> None:
-    """Wait until an endpoint has read some requests."""
+    """Wait until an endpoint has received some requests."""
     while len(endpoint.seen) < count:
         await asyncio.sleep(0.01)
 
 
-async def act_out(bed, endpoint, act: str) -> None:
-    """Let an endpoint end or break its connections."""
+async def perform(bed, endpoint, act: str) -> None:
+    """End an endpoint or break its connections."""
     if act == "leave, then end":
         bed.announce(endpoint, state=registry.EndpointState.LEAVING, seq=2)
     elif act == "sign off, then end":
@@ -80,7 +80,7 @@
         with silent_listener() as address:
             if act == "lose its network":
                 bed.announce(endpoint, seq=2, address=address)
-            await act_out(bed, endpoint, act)
+            await perform(bed, endpoint, act)
             await asyncio.gather(*asking)
             await asyncio.sleep(endpointprobe.PROBE_TIMEOUT_S + SETTLED_S)
         context.crashed = bed.gateway.crash_detector.crashed
@@ -95,7 +95,7 @@
     assert context.lost == suspects, context.lost
 
 
-@when("two requests differ in nothing but their {part}")
+@when("two requests differ only in their {part}")
 def differ(context, part):
     name, value = CHANGED[part]
     context.pair = [
@@ -104,8 +104,8 @@
     ]
 
 
-@when("the end of the path of a request is the start of another's body")
-def run_into_each_other(context):
+@when("the end of one request's path is the start of another's body")
+def shift_path_boundary(context):
     context.pair = [
         fingerprints.compute(**(REQUEST | {"target": "/ab", "body": b"c"})),
         fingerprints.compute(**(REQUEST | {"target": "/a", "body": b"bc"})),
--- a/features/steps/directory_steps.py
+++ b/features/steps/directory_steps.py
@@ -1,4 +1,4 @@
-"""Steps on which gateways callers are sent to."""
+"""Steps for the addresses of gateways that callers get."""
 
 from behave import given
 from behave import then
@@ -23,29 +23,31 @@
     )
 
 
-@then("callers of zone {zone} get {near:d} near and {far:d} far ones")
-def near_and_far(context, zone, near, far):
+@then("callers of zone {zone} get {near:d} local and {far:d} remote gateways")
+def local_and_remote(context, zone, near, far):
     found = directory.addresses_for_zone(context.members, zone)
-    inside = [address for address in found if address.startswith(zone)]
-    assert (len(inside), len(found) - len(inside)) == (near, far), found
+    local = [address for address in found if address.startswith(zone)]
+    assert (len(local), len(found) - len(local)) == (near, far), found
 
 
-def far_ones(members, zone: str) -> set[str]:
-    """Return the addresses of other zones that callers of a zone get."""
+def remote_addresses(members, zone: str) -> set[str]:
+    """Return the addresses in other zones that callers of a zone get."""
     found = directory.addresses_for_zone(tuple(members), zone)
     return {address for address in found if not address.startswith(zone)}
 
 
-@then("callers of zones b and c do not all get the same far ones")
-def apart(context):
-    assert far_ones(context.members, "b") != far_ones(context.members, "c")
+@then("callers of zones b and c get different remote gateways")
+def zones_differ(context):
+    assert remote_addresses(context.members, "b") != remote_addresses(
+        context.members, "c"
+    )
 
 
-@then("callers of a zone get the same when a far one is lost, but for that one")
-def stays(context):
-    before = far_ones(context.members, "b")
+@then("callers of a zone keep the other remote gateways when one is lost")
+def others_stay(context):
+    before = remote_addresses(context.members, "b")
     lost = min(before)
     left = [m for m in context.members if m.address != lost]
-    after = far_ones(left, "b")
+    after = remote_addresses(left, "b")
     assert before - after == {lost}, (before, after)
     assert len(after) == len(before)
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the gateway's features."""
+"""Steps for the gateway's requests and its parts."""
 
 import asyncio
 import itertools
@@ -29,7 +29,7 @@
 from features.support import gatewaybed
 
 # An engine of the size that the platform's deployments state: a pass of 46
-# steps with writers takes 45 ms, and 256,000 prompt tokens a second are read.
+# decode steps takes 45 ms, and prefill runs at 256,000 tokens a second.
 ENGINE = mixes.spec(8, 450_000, 46)
 SHORT = spread.Prompt(
     prompt_tokens=5_000, output_tokens=1_600, target_s=0.3, gap_target_s=0.2
@@ -42,7 +42,7 @@
 
 
 def play(context, story) -> None:
-    """Run a coroutine function of a test bed on a loop of its own."""
+    """Run a coroutine function with a test bed in a new event loop."""
 
     async def run():
         bed = gatewaybed.Bed()
@@ -57,7 +57,8 @@
 @when("a {kind} request meets endpoints that {first} and then {second}")
 def meets(context, kind, first, second):
     async def story(bed):
-        # All endpoints are the same for the choice, so they act in turn.
+        # The gateway may choose any endpoint, so the acts are assigned in the
+        # order of the requests.
         then_act, _, later = second.partition(", then ")
         acts = itertools.chain(
             [first, then_act], itertools.repeat(later or then_act)
@@ -82,7 +83,7 @@
 
 
 def one_act(endpoint, acts):
-    """Return a `serve_one` that takes its act from a shared list."""
+    """Return a `serve_one` that takes its act from a shared iterator."""
     plain = endpoint.serve_one
 
     async def serve_one(reader, writer):
@@ -93,7 +94,7 @@
 
 
 class LazyScript:
-    """A script whose next word is drawn when a request has come."""
+    """A script whose next act is determined when a request arrives."""
 
     def __init__(self, acts):
         self.acts = acts
@@ -105,11 +106,11 @@
         return next(self.acts)
 
 
-@then("the caller gets {status:d} and the answer is {whole}")
+@then("the caller gets {status:d} and the response is {whole}")
 def gets(context, status, whole):
-    found = context.answer
-    assert found.status == status, found
-    assert found.whole == (whole == "whole"), found
+    response = context.answer
+    assert response.status == status, response
+    assert response.whole == (whole == "whole"), response
 
 
 @then("{count:d} sends were made")
@@ -149,19 +150,19 @@
 
 
 @then("the caller gets {status:d} at once and nothing is sent")
-def refused(context, status):
+def refused_at_once(context, status):
     assert context.answer.status == status, context.answer
     assert context.seen == [], context.seen
 
 
-@then("the refusal says when to come back: {yes}")
-def comes_back(context, yes):
-    known = "retry-after" in context.answer.headers
-    assert known == (yes == "yes"), context.answer
+@then("the refusal states a retry delay: {yes}")
+def states_retry_delay(context, yes):
+    is_stated = "retry-after" in context.answer.headers
+    assert is_stated == (yes == "yes"), context.answer
 
 
-@when("a caller sends headers of its own for what the gateway sets")
-def forged(context):
+@when("a caller sends headers that only the gateway may set")
+def sends_reserved_headers(context):
     async def story(bed):
         endpoint = await bed.add("e1", "answer")
         context.answer = await bed.ask(
@@ -180,8 +181,8 @@
     play(context, story)
 
 
-@then("the endpoint sees the gateway's word and the rest unchanged")
-def sees(context):
+@then("the endpoint gets the gateway's values and the rest unchanged")
+def gets_gateway_headers(context):
     (seen,) = context.seen
     assert seen.line == "POST /safe/x?q=a%2Fb HTTP/1.1", seen.line
     assert seen.body == b"body"
@@ -235,8 +236,8 @@
     assert least <= context.took_s <= most, context.took_s
 
 
-@when("a caller leaves while an endpoint works")
-def leaves(context):
+@when("a caller disconnects while an endpoint runs its request")
+def disconnects(context):
     async def story(bed):
         endpoint = await bed.add("e1", "hang")
         reader, writer = await asyncio.open_connection("127.0.0.1", bed.port)
@@ -274,7 +275,7 @@
 # --- events --------------------------------------------------------------
 
 
-@then("bytes {text} make {whole:d} whole events")
+@then("bytes {text} make {whole:d} complete events")
 def make_events(context, text, whole):
     data = text.strip('"').encode().decode("unicode_escape").encode()
     splitter = eventstream.EventSplitter()
@@ -318,7 +319,7 @@
     assert routes.check(gatewaybed.config()).is_ok()
 
 
-@then("of prefixes {prefixes} the path {path} takes {wanted}")
+@then("with prefixes {prefixes} the path {path} is routed to {wanted}")
 def longest(context, prefixes, path, wanted):
     plain = gatewaybed.config()
     found = tuple(
@@ -330,7 +331,7 @@
     assert (match.name if match else "none") == wanted, match
 
 
-@then("a split of {first:d} to {second:d} gives the first about {percent:d}%")
+@then("weights {first:d} and {second:d} give the first about {percent:d}%")
 def split(context, first, second, percent):
     route = attrs.evolve(
         gatewaybed.config().routes[0],
@@ -354,7 +355,7 @@
     assert view.version == wanted
 
 
-@then("a proof asked for {age_s:g} s ago is {state}")
+@then("a proof requested {age_s:g} s ago is {state}")
 def proof(context, age_s, state):
     view = routeview.RouteView(staleness_bound_s=4.5)
     view.adopt(gatewaybed.config())
@@ -379,7 +380,7 @@
 
 
 def retries_of(part, share, lender, gateway) -> int:
-    """Return how many retries a budget holds that borrows what it can."""
+    """Return how many retries a budget allows that borrows all it can."""
     count = 0
     while True:
         while part.reserve(share, 100.0):
@@ -423,8 +424,8 @@
 # --- spread --------------------------------------------------------------
 
 
-def writers(count: int, endpoint: str) -> list[work_lib.Work]:
-    """Return short streams that are being written."""
+def decoding_streams(count: int, endpoint: str) -> list[work_lib.Work]:
+    """Return decoding short streams."""
     return [
         work_lib.Work(
             endpoint=endpoint,
@@ -440,15 +441,17 @@
 
 
 def states(loads: list[int]) -> list[enginestate.EngineState]:
-    """Return engines that write so many short streams each."""
+    """Return the states of engines with the given numbers of streams."""
     return [
-        enginestate.engine_state(f"e{n}", writers(count, f"e{n}"), ENGINE, 0.0)
+        enginestate.engine_state(
+            f"e{n}", decoding_streams(count, f"e{n}"), ENGINE, 0.0
+        )
         for n, count in enumerate(loads)
     ]
 
 
-@given("engines that write {loads} short streams")
-def engines_write(context, loads):
+@given("engines that decode {loads} short streams")
+def engines_decode(context, loads):
     context.states = states([int(n) for n in loads.split()])
 
 
@@ -469,8 +472,8 @@
     assert context.placement.lead == wanted, context.placement
 
 
-@then("no short stream pauses for longer than its aim")
-def no_harm(context):
+@then("no short stream pauses for longer than its gap target")
+def within_gap_target(context):
     found = context.placement
     chosen = {found.lead, *found.helpers}
     part_s = enginemodel.read_s(
@@ -486,7 +489,7 @@
     assert context.placement.first_event_s <= seconds, context.placement
 
 
-@then("the memory of the prompt is held whole by tickets and first engine")
+@then("tickets and the lead engine hold all memory of the prompt")
 def memory_held(context):
     held = sum(tokens for _, tokens in context.placement.tickets)
     rest = context.prompt.prompt_tokens + context.prompt.output_tokens - held
@@ -498,8 +501,8 @@
 # --- workload ------------------------------------------------------------
 
 
-def told(seq: int, *changes, full: bool = False, incarnation: int = 1):
-    """Return a summary as it comes off the wire."""
+def summary_of(seq: int, *changes, full: bool = False, incarnation: int = 1):
+    """Return a summary after encoding and decoding."""
     summary = workload.Summary(
         gateway="g",
         incarnation=incarnation,
@@ -515,21 +518,21 @@
     load = workload.Workload()
     for seq in (earlier, later):
         change = workload.Change(seq, f"e{seq}", age_ms=500)
-        result = load.take(told(seq, change), 10.0)
+        result = load.take(summary_of(seq, change), 10.0)
     assert result == (taken == "taken")
     work = load.foreign["g"].works[earlier]
     assert work.sent_at == 9.5, work
 
 
-@then("a gateway that is silent for {seconds:g} s counts {count:d} pieces")
+@then("a gateway that is silent for {seconds:g} s counts {count:d} work items")
 def silent(context, seconds, count):
     load = workload.Workload()
-    load.take(told(1, workload.Change(1, "e")), 10.0)
+    load.take(summary_of(1, workload.Change(1, "e")), 10.0)
     load.expire(10.0 + seconds)
     assert len(load.at_endpoint("e")) == count
 
 
-@then("after the datagrams {text} the work known is {wanted}")
+@then("after the datagrams {text} the known work is {wanted}")
 def datagrams(context, text, wanted):
     load = workload.Workload()
     for seq, word in enumerate(text.split()):
@@ -540,13 +543,13 @@
             for k in keys.split(",")
             if k
         ]
-        starts_anew = kind == "restart"
+        is_restart = kind == "restart"
         load.take(
-            told(
+            summary_of(
                 seq + 1,
                 *changes,
                 full=kind == "all",
-                incarnation=2 if starts_anew else 1,
+                incarnation=2 if is_restart else 1,
             ),
             10.0,
         )
@@ -554,14 +557,14 @@
     assert known == [int(k) for k in wanted.split(",") if k != "none"], known
 
 
-@then("own work is told once when it changes and whole when asked for")
+@then("own work is sent once when it changes and completely on request")
 def own_work(context):
     load = workload.Workload()
     first = load.add(work_lib.Work(endpoint="a", sent_at=1.0))
     second = load.add(work_lib.Work(endpoint="b", sent_at=1.0))
-    told_first = load.take_changes(False, 2.0)
-    assert [c.key for c in told_first] == [first, second]
-    assert told_first[0].age_ms == 1000
+    first_changes = load.take_changes(False, 2.0)
+    assert [c.key for c in first_changes] == [first, second]
+    assert first_changes[0].age_ms == 1000
     assert load.take_changes(False, 2.0) == ()
     load.remove(first)
     assert load.take_changes(False, 2.0) == (workload.Change(first),)
@@ -569,7 +572,7 @@
 
 
 @then("{kind} failures {count:d} in a row make an endpoint {state}")
-def rests(context, kind, count, state):
+def ejected(context, kind, count, state):
     endpoints = endpointset.EndpointSet()
     for name in ("e", "other"):
         endpoints.learn(
@@ -594,21 +597,21 @@
     ]
 
 
-@given("an engine whose {count:d} prompts of {tokens:d} tokens write")
-def all_write(context, count, tokens):
+@given("an engine whose {count:d} prompts of {tokens:d} tokens are decoding")
+def all_decode(context, count, tokens):
     was_sent(context, count, tokens)
     for work in context.works:
         work.writing = True
 
 
-@then("it will read for {least:g} to {most:g} s more")
-def will_read(context, least, most):
+@then("its remaining prefill takes {least:g} to {most:g} s")
+def remaining_prefill(context, least, most):
     left = enginestate.reading_left_s(context.works, ENGINE, 10.0)
     assert least <= left <= most, left
 
 
-@then("an engine with 10 streams answers later than one with 7 by {least:g} s")
-def answers_later(context, least):
+@then("the first event at 10 streams is at least {least:g} s later than at 7")
+def first_event_later(context, least):
     full, free = states([10, 7])
     part_s = enginemodel.read_s(ENGINE, 5_000)
     gap = spread.event_s(full, ENGINE, part_s) - spread.event_s(
@@ -617,7 +620,9 @@
     assert gap >= least, gap
 
 
-@then("a request of aim {aim:g} s that waited {waited:g} s ranks {rank:d}")
-def ranks(context, aim, waited, rank):
-    route = attrs.evolve(gatewaybed.config().routes[2], target_s=aim)
+@then(
+    "a request with target {target:g} s that waited {waited:g} s ranks {rank:d}"
+)
+def ranks(context, target, waited, rank):
+    route = attrs.evolve(gatewaybed.config().routes[2], target_s=target)
     assert urgency.of(route, waited, 0.1) == rank
--- a/features/steps/promises_steps.py
+++ b/features/steps/promises_steps.py
@@ -1,4 +1,4 @@
-"""Steps on promises of the gateway that a single line could break."""
+"""Steps for guarantees that a change of one line could break."""
 
 import asyncio
 from unittest import mock
@@ -18,26 +18,26 @@
 from features.support import gatewaybed
 from features.support import relayworld
 
-# Engines that hold 50,000 tokens each beside what is kept free.
+# Engines that hold 50,000 tokens each beside their reserve.
 ENGINE = mixes.spec(8, 90_000, 46)
 PROMPT = "120000,400"
-FREED_WITHIN_S = 1.0
+RELEASED_WITHIN_S = 1.0
 
 
-class TakingEndpoint(gatewaybed.ScriptedEndpoint):
-    """An engine that takes every order and streams every answer."""
+class GrantingEndpoint(gatewaybed.ScriptedEndpoint):
+    """An engine that grants all memory and streams all responses."""
 
     async def serve_one(self, reader, writer):
-        """Answer orders and prompts by their paths."""
+        """Respond to memory requests and prompts by their paths."""
         seen = await self.read_request(reader)
         self.seen.append(seen)
-        order = "/v1/memory/" in seen.line
-        act = self.do_answer if order else self.do_stream
+        is_memory = "/v1/memory/" in seen.line
+        act = self.do_answer if is_memory else self.do_stream
         return await act(seen.headers, reader, writer)
 
 
-def orders(endpoints, method: str) -> set[tuple[str, str]]:
-    """Return which tickets were ordered with a method, and where."""
+def memory_requests(endpoints, method: str) -> set[tuple[str, str]]:
+    """Return endpoint and path of the memory requests with a method."""
     return {
         (endpoint.name, seen.line.split()[1])
         for endpoint in endpoints
@@ -46,50 +46,50 @@
     }
 
 
-@when("a prompt above one engine's memory is served")
+@when("a prompt that exceeds one engine's memory is served")
 def long_prompt(context):
     async def story(bed):
         shop = gatewaybed.config().services[0]
         engines = (attrs.evolve(shop, engine=ENGINE),)
         bed.gateway.adopt(gatewaybed.config(version=2, services=engines))
         endpoints = [
-            await bed.take(TakingEndpoint(f"e{number}", []))
+            await bed.take(GrantingEndpoint(f"e{number}", []))
             for number in range(4)
         ]
         tokens = bed.gateway.dialect.names.tokens
         context.answer = await bed.ask("/stream/x", extra={tokens: PROMPT})
-        # The memory is freed beside the answer, before or after its end.
-        end = clocks.boot_time() + FREED_WITHIN_S
+        # Memory is released in the background, before or after the response.
+        end = clocks.boot_time() + RELEASED_WITHIN_S
         while clocks.boot_time() < end:
-            context.taken = orders(endpoints, "PUT")
-            context.freed = orders(endpoints, "DELETE")
-            if context.freed == context.taken:
+            context.reserved = memory_requests(endpoints, "PUT")
+            context.released = memory_requests(endpoints, "DELETE")
+            if context.released == context.reserved:
                 break
             await asyncio.sleep(0.01)
 
     gateway_steps.play(context, story)
 
 
-@then("each ticket that was taken is given back")
-def given_back(context):
+@then("each reservation that was made is released")
+def all_released(context):
     assert context.answer.status == 200, context.answer
-    assert context.taken, "no memory was set aside"
-    assert context.freed == context.taken, context.freed
+    assert context.reserved, "no memory was reserved"
+    assert context.released == context.reserved, context.released
 
 
 class SlowLeader:
-    """Answers a watch after a while, with nothing new."""
+    """Responds to a watch after a delay, without changes."""
 
     def __init__(self, delay_s: float):
         self.delay_s = delay_s
 
     async def call(self, _address, _message, _timeout_s):
-        """Answer late."""
+        """Respond after the delay."""
         await asyncio.sleep(self.delay_s)
         return Ok(watching.News(epoch="e", registry_mark=1))
 
 
-@when("a leader answers a watch {delay:g} s after it was asked")
+@when("a leader responds to a watch {delay:g} s after its request")
 def slow_watch(context, delay):
     async def story(bed):
         watch = watch_lib.Watch(bed.gateway)
@@ -107,7 +107,7 @@
     assert least <= context.age_s < 60.0, context.age_s
 
 
-@when("a stream pauses for {pause:g} s at its endpoint where {hindrance}")
+@when("a stream pauses for {pause:g} s at its endpoint while {hindrance}")
 def pausing_stream(context, pause, hindrance):
     async def story(bed):
         first = await bed.add("e1", "pause")
@@ -129,10 +129,10 @@
 
 
 @when(
-    "a stream pauses for {pause:g} s at a start that is heard of {after:g} s"
-    " after the send"
+    "a stream pauses for {pause:g} s at an endpoint whose restart"
+    " becomes known {after:g} s after the send"
 )
-def start_heard_of_later(context, pause, after):
+def restart_known_later(context, pause, after):
     async def story(bed):
         endpoint = await bed.add("e1", "pause_twice")
         endpoint.pause_s = pause
@@ -146,30 +146,30 @@
     gateway_steps.play(context, story)
 
 
-@when("the proof ends while a first endpoint loses a safe request")
-def proof_ends(context):
+@when("the proof expires while a first endpoint loses a safe request")
+def proof_expires(context):
     async def story(bed):
         endpoints = [await bed.add(name, "reset") for name in ("e1", "e2")]
         for endpoint in endpoints:
-            endpoint.do_reset = proof_ending(bed, endpoint.do_reset)
+            endpoint.do_reset = expiring_proof(bed, endpoint.do_reset)
         context.answer = await bed.ask("/safe/x")
         context.seen = [s for e in endpoints for s in e.seen]
 
     gateway_steps.play(context, story)
 
 
-def proof_ending(bed, act):
-    """Return an act during which the gateway's proof becomes too old."""
+def expiring_proof(bed, act):
+    """Return an act during which the gateway's proof expires."""
 
-    async def ending(*arguments):
+    async def act_after_expiry(*arguments):
         bed.prove(age_s=60.0)
         return await act(*arguments)
 
-    return ending
+    return act_after_expiry
 
 
-@then("the second endpoint gets nothing")
-def nothing_second(context):
+@then("the second endpoint gets no request")
+def only_first(context):
     assert len(context.seen) == 1, context.seen
     assert context.answer.status >= 500, context.answer
 
@@ -195,7 +195,7 @@
 
 
 def restart(bed, endpoint) -> None:
-    """Let the gateway hear of a later start under the same name."""
+    """Announce a later incarnation under the same name."""
     bed.announce(endpoint, incarnation=2)
 
 
@@ -205,12 +205,12 @@
 
 
 @when(
-    "a prompt is held for {held:g} s beside {late:d} that are late, and"
-    " {places:d} places are free"
+    "a prompt is held for {held:g} s beside {late:d} late ones, and"
+    " {places:d} batch slots are free"
 )
 def held_beside_late(context, held, late, places):
     async def story(bed):
-        endpoint = await bed.take(TakingEndpoint("e1", []))
+        endpoint = await bed.take(GrantingEndpoint("e1", []))
         shop = gatewaybed.config().services[0]
         spec = mixes.spec(places, 450_000, 46)
         known = gatewaybed.config(
@@ -273,6 +273,6 @@
     ), context.versions
 
 
-@then("none of them called the version before it current meanwhile")
+@then("no gateway counted the version before it as current meanwhile")
 def not_current(context):
     assert max(context.proved) <= relayworld.TRAVEL_S * 4, context.proved
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps on requests that crash the endpoints that run them."""
+"""Steps for requests that crash the endpoints that run them."""
 
 import asyncio
 from unittest import mock
@@ -13,12 +13,12 @@
 from features.support import crashworld
 from features.support import gatewaybed
 
-# Times of the poison of a trial, and how long it is waited for.
+# How long a slow request runs, and the limit for stopping it.
 SLOW_S = 4.0
 AT_ONCE_S = 0.1
 
 
-@given("{gateways:d} gateways before {engines:d} engines")
+@given("{gateways:d} gateways in front of {engines:d} engines")
 def given_fleet(context, gateways, engines):
     manager = crashworld.fleet(gateways, engines)
     context.world, context.go = manager.__enter__()
@@ -26,8 +26,8 @@
 
 
 @given(
-    "{gateways:d} gateways before {engines:d} engines, which start again within"
-    " {restart:g} s, seed {seed:d}"
+    "{gateways:d} gateways in front of {engines:d} engines that"
+    " restart within {restart:g} s, seed {seed:d}"
 )
 def given_quick_fleet(context, gateways, engines, restart, seed):
     patched = mock.patch.object(crashworld, "RESTART_S", restart)
@@ -39,8 +39,8 @@
 
 
 @when(
-    "{poisons:d} poison requests come each {every:g} s beside {popular:d}"
-    " popular ones"
+    "{poisons:d} poison requests are sent every {every:g} s beside"
+    " {popular:d} popular ones"
 )
 def poisons_beside_popular(context, poisons, every, popular):
     crashhistories.play_beside_popular(
@@ -49,8 +49,8 @@
 
 
 @when(
-    "a poison request comes each {every:g} s for {seconds:g} s, beside"
-    " proper ones"
+    "a poison request is sent every {every:g} s for {seconds:g} s,"
+    " beside proper ones"
 )
 def poison(context, every, seconds):
     world = context.world
@@ -63,7 +63,7 @@
     context.go(story())
 
 
-@when("a poison request comes each {every:g} s for {seconds:g} s")
+@when("a poison request is sent every {every:g} s for {seconds:g} s")
 def poison_alone(context, every, seconds):
     world = context.world
 
@@ -74,34 +74,34 @@
     context.go(story())
 
 
-@when("{poisons:d} poison requests come each {every:g} s beside {trouble}")
+@when("{poisons:d} poison requests are sent every {every:g} s beside {trouble}")
 def poisons_beside(context, poisons, every, trouble):
     crashhistories.play(context.world, context.go, poisons, every, trouble)
 
 
-@when("proper requests come for {seconds:g} s beside {trouble}")
+@when("proper requests are sent for {seconds:g} s beside {trouble}")
 def proper_beside(context, seconds, trouble):
     assert seconds == crashhistories.PLAY_S
     crashhistories.play(context.world, context.go, 0, 1.0, trouble)
 
 
 @then(
-    "it reaches engines at most {count:d} times more than {seconds:g} s after"
-    " its third crash"
+    "it reaches engines at most {count:d} times later than"
+    " {seconds:g} s after its third crash"
 )
 @then(
-    "each reaches engines at most {count:d} times more than {seconds:g} s"
-    " after its third crash"
+    "each reaches engines at most {count:d} times later than"
+    " {seconds:g} s after its third crash"
 )
 def bounded(context, count, seconds):
     assert count == crashworld.ALLOWED_RETRIES
     assert seconds == crashworld.CONTACT_S
     world = context.world
-    assert any(world.crashed.values()), "nothing crashed"
+    assert any(world.crashed.values()), "no engine crashed"
     world.check_poisons()
 
 
-@then("at most {most:d} engines end under each")
+@then("each crashes at most {most:d} engines")
 def engines_end(context, most):
     for body, crashed in context.world.crashed.items():
         assert len(crashed) <= most, (body, len(crashed))
@@ -129,7 +129,7 @@
 # --- trials ------------------------------------------------------------------
 
 
-@then("{count:d} trials were started and at most {most:d} engines ended")
+@then("{count:d} trials were started and at most {most:d} engines crashed")
 def trials_started(context, count, most):
     world = context.world
     (entry,) = world.state.quarantine.entries.values()
@@ -162,7 +162,7 @@
     context.go(story())
 
 
-@then("it is refused for {seconds:g} s in all, and answered from then on")
+@then("it is refused for {seconds:g} s in all, and then answered")
 def refused_then_answered(context, seconds):
     assert seconds == quarantine.FIRST_TERM_S
     until = context.began_at + seconds
@@ -194,7 +194,7 @@
     context.go(story())
 
 
-# --- what is stopped and refused ----------------------------------------------
+# --- stopped and refused requests ---------------------------------------------
 
 
 @when("a request that runs at {count:d} engines enters quarantine")
@@ -222,11 +222,11 @@
     context.go(story())
 
 
-@then("all {count:d} callers get their answer within {seconds:g} s")
+@then("all {count:d} callers get a response within {seconds:g} s")
 def stopped(context, count, seconds):
     assert seconds == AT_ONCE_S
     assert context.took_s <= seconds, context.took_s
-    # Nothing proves that it has not run.
+    # 502, as nothing proves that the request did not run.
     assert context.statuses == [502] * count, context.statuses
 
 
@@ -235,7 +235,7 @@
     assert context.sent_after == context.sent, context.sent_after
 
 
-@when("a request in quarantine comes to each gateway")
+@when("a request in quarantine is sent to each gateway")
 def comes_to_each(context):
     world = context.world
 
@@ -259,7 +259,7 @@
     context.go(story())
 
 
-@then("each answers 503 at once, with a time to come back")
+@then("each responds with 503 at once, with a retry delay")
 def answers_503(context):
     assert context.answers
     for answer in context.answers:
@@ -279,7 +279,7 @@
     assert context.elsewhere.status == 200, context.elsewhere.status
 
 
-@when("{count:d} requests of other sizes come beside one in quarantine")
+@when("{count:d} requests of other sizes are sent beside one in quarantine")
 def other_sizes(context, count):
     world = context.world
 
@@ -313,4 +313,4 @@
             history()
         except AssertionError:
             return
-    raise AssertionError("nothing failed")
+    raise AssertionError("the injected defect was not detected")
--- a/features/steps/retrybudget_steps.py
+++ b/features/steps/retrybudget_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the retry budget of one gateway."""
+"""Steps for the retry budget of one gateway."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 
 
 def use_up(gateway) -> None:
-    """Charge every retry that a gateway's budget holds."""
+    """Charge all retries that a gateway's budget allows."""
     budget = gateway.budget(SERVICE)
     now = clocks.boot_time()
     share = gateway.floor_share.least(now)
@@ -93,13 +93,13 @@
     assert found["allowed"] > 0 and found["lent"] == 0, found
 
 
-# --- what reached an endpoint ---------------------------------------------
+# --- arrivals at endpoints ---------------------------------------------
 
 
 async def add_endpoints(bed, acts: list[str]) -> list:
-    """Announce endpoints that act in the order in which they are used.
+    """Add endpoints that perform acts in the order in which they are used.
 
-    One that is "down" refuses connections; the others run one script.
+    A "down" endpoint refuses connections; the others share one script.
     """
     script = [act for act in acts if act != "down"]
     shared: list = []
@@ -116,7 +116,7 @@
 
 
 def choose_in_order(endpoints):
-    """Let exchanges try endpoints in the order of a list."""
+    """Make exchanges try endpoints in the order of a list."""
     choose = exchange.Exchange.choose
 
     def in_order(self, now):
@@ -161,13 +161,13 @@
 
 @attrs.define
 class LendingLink:
-    """Answers like a leader that lends `amount`, None for no leader."""
+    """Simulates a leader that lends `amount`, None for an unreachable one."""
 
     amount: int | None
     asked: list = attrs.Factory(list)
 
     async def call(self, message):
-        """Answer a request for retries."""
+        """Respond to a request for retries."""
         self.asked.append(message)
         if self.amount is None:
             return None
@@ -209,10 +209,7 @@
     assert set(context.statuses) <= {200, 503}, context.statuses
 
 
-@then(
-    "the leader was asked at most {most:d} times, each time for what was"
-    " refused"
-)
+@then("the leader got at most {most:d} requests, each for refused retries")
 def asked(context, most):
     found = context.link.asked
     assert 1 <= len(found) <= most, found
--- a/features/steps/startshare_steps.py
+++ b/features/steps/startshare_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what gateways send right after all have started, without network."""
+"""Steps for the prompts that gateways send right after all have started."""
 
 import collections
 import random
@@ -18,7 +18,8 @@
 
 
 @then(
-    "each of {gateways:d} gateways that know {places:d} places sends {prompts:d}"
+    "each of {gateways:d} gateways that know {places:d} batch slots"
+    " sends {prompts:d}"
 )
 def each_sends(context, gateways, places, prompts):
     found = startshare.allowed(places, gateways)
@@ -26,21 +27,21 @@
 
 
 @given(
-    "{gateways:d} gateways that hold {held:d} short prompts each and hear"
-    " nothing of others"
+    "{gateways:d} gateways that hold {held:d} short prompts each and"
+    " do not exchange load"
 )
 def gateways_hold(context, gateways, held):
     context.gateways = gateways
     context.held = held
 
 
-@when("they let prompts go to {known:d} engines")
-def let_go(context, known):
-    context.got = collections.Counter()
+@when("they send prompts to {known:d} engines")
+def send_prompts(context, known):
+    context.received = collections.Counter()
     for number in range(context.gateways):
         endpoints = endpointset.EndpointSet()
-        for place in range(known):
-            choice_steps.announce(endpoints, f"e{place}", f"z{place % 5}")
+        for engine in range(known):
+            choice_steps.announce(endpoints, f"e{engine}", f"z{engine % 5}")
         load = workload.Workload()
         chooser = engines_lib.Chooser(
             endpoints, load, f"z{number % 5}", random.Random(number)
@@ -53,7 +54,7 @@
             if load.own_prompts() >= allowed:
                 break
             name = choice.endpoint.name
-            context.got[name] += 1
+            context.received[name] += 1
             load.add(
                 work_lib.Work(endpoint=name, prompt_tokens=5_000, sent_at=10.0)
             )
@@ -61,11 +62,13 @@
 
 @then("at most {queued:d} in 100 prompts meet a full engine")
 def meet_full(context, queued):
-    over = sum(max(0, got - SLOTS) for got in context.got.values())
-    sent = sum(context.got.values())
+    over = sum(max(0, got - SLOTS) for got in context.received.values())
+    sent = sum(context.received.values())
     assert over * 100 <= queued * sent, (over, sent)
 
 
-@then("at least {sent:d} prompts were let go")
-def were_let_go(context, sent):
-    assert sum(context.got.values()) >= sent, sum(context.got.values())
+@then("at least {sent:d} prompts were sent")
+def were_sent(context, sent):
+    assert sum(context.received.values()) >= sent, sum(
+        context.received.values()
+    )
--- a/features/support/crashhistories.py
+++ b/features/support/crashhistories.py
@@ -1,6 +1,6 @@
-"""What happens around requests that crash engines, and what must hold.
+"""Scenarios of requests that crash engines, and checks of the quarantine.
 
-Each history raises AssertionError where the quarantine fails.
+Each scenario raises AssertionError if the quarantine fails.
 """
 
 import asyncio
@@ -30,40 +30,41 @@
 PLAY_S = 12.0
 TROUBLE_AT_S = 2.0
 RACK = 5
-# Not every storm puts a popular request beside each crash of another one.
+# Seeds with a popular request in flight at the crashes of a poison request; not
+# every seed produces this.
 STORM_SEEDS = (0, 4, 8)
 
 
-# --- troubles ----------------------------------------------------------------
+# --- faults and load ---------------------------------------------------------
 
 
 async def nothing(world):
-    """Let nothing happen."""
+    """Cause no fault."""
 
 
 async def rush(world):
-    """Send ten times as many requests for a while."""
+    """Send requests at ten times the usual rate for a while."""
     for number in range(5_000):
         world.spawn(world.send_proper(b"rush %d" % number))
         await asyncio.sleep(PROPER_EVERY_S / 10)
 
 
 async def popular(world):
-    """Send the same proper request again and again."""
+    """Send the same proper request repeatedly."""
     while True:
         world.spawn(world.send_proper(POPULAR))
         await asyncio.sleep(POPULAR_EVERY_S)
 
 
 async def rack_ends(world):
-    """Let some engines end at once."""
+    """Crash the engines of one rack at the same time."""
     world.spawn(popular(world))
     for engine in list(world.engines.values())[:RACK]:
         world.crash(engine)
 
 
 async def racks_end(world):
-    """Let one rack after another end."""
+    """Crash one rack after another."""
     world.spawn(popular(world))
     engines = list(world.engines.values())
     for start in itertools.cycle(range(0, len(engines), RACK)):
@@ -74,14 +75,14 @@
 
 
 async def break_off(world):
-    """Let engines break their connections off while they live."""
+    """Break the connections of engines that keep running."""
     while True:
         await asyncio.sleep(0.2)
         world.rng.choice(list(world.engines.values())).end_calls()
 
 
 async def go_dark(world):
-    """Let engines lose their network for some time, one after another."""
+    """Cut engines off from the network for a while, one after another."""
     for engine in itertools.cycle(world.engines.values()):
         engine.dark = True
         engine.end_calls()
@@ -90,7 +91,7 @@
 
 
 async def end_at_random(world):
-    """Let an engine end each second, as single processes do."""
+    """Crash a random engine each second."""
     world.spawn(popular(world))
     while True:
         await asyncio.sleep(1.0)
@@ -100,12 +101,12 @@
 
 
 async def lose_leader(world):
-    """Let nobody lead for a while."""
+    """Leave the control plane without a leader for a while."""
     world.lose_leader(2.0)
 
 
 async def restart_gateways(world):
-    """Start all gateways anew."""
+    """Restart all gateways."""
     for name, gateway in list(world.gateways.items()):
         gateway.watch.task.cancel()
         world.add_gateway(name, gateway.settings.availability_zone)
@@ -117,12 +118,12 @@
 
 
 async def cut_relay(world):
-    """Cut a relay off from the others of control."""
+    """Isolate a relay from the other control processes."""
     world.isolate("relay-0")
 
 
 async def lead_anew(world):
-    """Let a replica that knows nothing lead."""
+    """Elect a replica that has no copy of the fleet state."""
     world.lose_leader(0.6)
     for process in world.processes.values():
         process.mirror.copied_at = float("-inf")
@@ -130,7 +131,7 @@
 
 
 async def follow_one(world):
-    """Let each engine break off that is sent a certain request."""
+    """Break the connections of each engine that gets a certain request."""
     world.spoiled.add(POPULAR)
     world.spawn(popular(world))
 
@@ -154,7 +155,7 @@
 
 
 def play(world, go, poisons: int, every_s: float, trouble: str) -> None:
-    """Let poison and proper requests come, and trouble after a while."""
+    """Send poison and proper requests, and cause a fault after a while."""
 
     async def story():
         world.spawn(world.load(PROPER_EVERY_S))
@@ -171,7 +172,7 @@
 def play_beside_popular(
     world, go, poisons: int, every_s: float, popular_count: int
 ) -> None:
-    """Let poison requests come beside popular ones and few others."""
+    """Send poison requests beside popular requests and few others."""
 
     async def repeat(body):
         while True:
@@ -191,7 +192,7 @@
 
 
 def storm_convicts_nobody() -> None:
-    """Check that popular requests are not refused while no engine lives long."""
+    """Check that popular requests are served while engines crash quickly."""
     for seed in STORM_SEEDS:
         with (
             mock.patch.object(crashworld, "RESTART_S", 1.0),
@@ -201,11 +202,11 @@
             check_none_proper(world)
 
 
-# --- what must hold ------------------------------------------------------------
+# --- checks ------------------------------------------------------------
 
 
 def check_none_proper(world) -> None:
-    """Check that only poison requests are in quarantine."""
+    """Check that no proper request is in quarantine."""
     entries = world.state.quarantine.entries.values()
     wanted = {
         crashworld.fingerprint(body, kind).text
@@ -217,7 +218,7 @@
 
 
 def put_in_quarantine(world, body: bytes, kind: str = "safe") -> None:
-    """Put a request into quarantine as an operator does."""
+    """Put a request into quarantine like an operator."""
     world.apply(
         crashreports.Quarantine(
             fingerprint=crashworld.fingerprint(body, kind), reason="test"
@@ -226,7 +227,7 @@
 
 
 def poison_beside(trouble: str) -> None:
-    """Let a poison request come beside a trouble."""
+    """Send a poison request during a fault."""
     with crashworld.fleet(9, 16) as (world, go):
         play(world, go, 1, 0.2, trouble)
         assert world.state.quarantine.entries, "nothing is in quarantine"
@@ -235,27 +236,27 @@
 
 
 def proper_beside(trouble: str) -> None:
-    """Let proper requests come beside a trouble."""
+    """Send proper requests during a fault."""
     with crashworld.fleet(9, 16) as (world, go):
         play(world, go, 0, 1.0, trouble)
         check_none_proper(world)
 
 
 def convicts_nobody(pattern: str) -> None:
-    """Report crashes that prove nothing."""
+    """Report crashes that do not prove a culprit."""
     ledger = ledgerpatterns.ledger_of(ledgerpatterns.PATTERNS[pattern])
     assert not ledgerpatterns.convicted_by(ledger)
 
 
 def one_crash_counts_once() -> None:
-    """Report one crash by several gateways."""
+    """Report one crash from several gateways."""
     pattern = "one crash is reported by five gateways"
     ledger = ledgerpatterns.ledger_of(ledgerpatterns.PATTERNS[pattern])
     assert len(ledger.known) == 1, ledger.known
 
 
 def other_workspace_is_served() -> None:
-    """Send a request in quarantine for another workspace and on another path."""
+    """Send a quarantined request for another workspace and on another path."""
     with crashworld.fleet(3, 6) as (world, go):
         put_in_quarantine(world, b"refused")
         go(world.run(0.5))
@@ -271,9 +272,9 @@
 
 
 def answered_between_crashes(gateways: int) -> None:
-    """Let engines end under a popular request that others answer.
+    """Crash engines under a popular request that other engines answer.
 
-    With two gateways one sees the crashes, and the other one the answers.
+    With two gateways, one sees the crashes and the other the responses.
     """
     with crashworld.fleet(gateways, 6) as (world, go):
         first, *others = world.gateways.values()
@@ -309,13 +310,13 @@
             await world.run(0.5)
             put_in_quarantine(world, body, "stream")
             await world.run(0.2)
-            assert asked.done(), "it still runs"
+            assert asked.done(), "the request is still running"
 
         go(story())
 
 
 def fixed_is_released() -> None:
-    """Fix a poison request; it is answered after its first term."""
+    """Fix a poison request; it is served after its first quarantine term."""
     with crashworld.fleet(3, 6) as (world, go):
         body = crashworld.POISON
 
@@ -333,11 +334,11 @@
         go(story())
 
 
-# --- planted defects -----------------------------------------------------------
+# --- injected defects --------------------------------------------------------
 
 
 def fingerprint_without(part: str):
-    """Return a fingerprint function that leaves one part out."""
+    """Return a fingerprint function that ignores one part."""
     right = fingerprints.compute
 
     def wrong(method, host, target, workspace, body):
@@ -356,25 +357,25 @@
 
 
 def counts_reports(self, crash, now):
-    """Count each report as a crash of its own."""
+    """Count each report as a separate crash."""
     key = attrs.evolve(crash.endpoint, incarnation=next(REPORTS))
     RIGHT_RECORD(self, attrs.evolve(crash, endpoint=key), now)
 
 
 def convicts_everybody(self, fingerprint, convicted, now):
-    """Convict whoever was in flight at some crashes."""
+    """Convict every request that was in flight at some crashes."""
     del convicted, now
     return len(self.suspected[fingerprint]) >= crashledger.CRASHES_TO_CONVICT
 
 
 def counts_together(self, fingerprint, endpoints):
-    """Count crashes that happened at once one by one."""
+    """Count simultaneous crashes separately."""
     del self, fingerprint
     return float(len(endpoints))
 
 
 def tells_changes_only(self, now):
-    """Tell of nothing that was there before this leader."""
+    """Publish only entries that are newer than the leadership."""
     table = self.state.quarantine
     if self.quarantine_revision < 0:
         self.quarantine_revision = table.revision
@@ -383,7 +384,7 @@
 
 
 def forgets_at_full_sync(self, added, ended, whole, more):
-    """Take a full sync for nothing."""
+    """Ignore full updates."""
     if whole:
         return quarantine.ViewChange()
     return RIGHT_LEARN(self, added, ended, whole, more)
--- a/features/support/crashworld.py
+++ b/features/support/crashworld.py
@@ -1,8 +1,8 @@
-"""Engines that end under certain requests, before gateways that watch.
+"""A simulated fleet of gateways and engines that crash under certain requests.
 
-The gateways' own parts run, in virtual time: exchanges, choice of endpoints,
-crash detection and what reaches them from control. Engines, connections and
-callers are played here.
+The gateways' own code runs in virtual time: exchanges, choice of endpoints,
+crash detection and the exchange with the control plane. Engines, connections
+and callers are simulated here.
 """
 
 import asyncio
@@ -25,12 +25,12 @@
 from features.support import relayworld
 from features.support import virtualloop
 
-# What the rule gives machines in touch to hear of a third crash, and the
-# retries that it leaves them.
+# The requirement: all connected processes know of the third crash within this
+# time, and send the request at most so many times after that.
 CONTACT_S = 3.0
 ALLOWED_RETRIES = 3
 CRASHES_BEFORE = 3
-# How long an engine runs a poison request, and any other one.
+# How long an engine runs a poison request before it crashes, and any other one.
 CRASH_AFTER_S = 0.08
 SERVE_S = 0.15
 RESTART_S = 3.5
@@ -40,7 +40,7 @@
 
 @attrs.define(eq=False)
 class Engine:
-    """An engine at one address, whose starts have names of their own."""
+    """An engine at one address; each incarnation has its own name."""
 
     address: str
     starts: int = 1
@@ -50,11 +50,11 @@
 
     @property
     def name(self) -> str:
-        """Return the name of the present start."""
+        """Return the name of the current incarnation."""
         return f"engine-{self.address}-{self.starts}"
 
     def end_calls(self) -> None:
-        """Break all connections."""
+        """End all calls as lost connections."""
         for call in list(self.calls):
             if not call.done():
                 call.set_result(upstream.CallEnd.LOST)
@@ -62,13 +62,13 @@
 
 @attrs.define(eq=False)
 class WorldPool:
-    """Stands for a gateway's connections to one address."""
+    """Simulates a gateway's connection pool for one address."""
 
     world: "CrashWorld"
     address: str
 
     async def call(self, request, sink, _reuse, may_send) -> upstream.CallEnd:
-        """Carry a request to the engine that listens at the address."""
+        """Deliver a request to the engine that listens on the address."""
         await asyncio.sleep(relayworld.TRAVEL_S)
         engine = self.world.engines[self.address]
         if not engine.up or engine.dark or not may_send():
@@ -100,11 +100,11 @@
         return upstream.CallEnd.COMPLETE
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing; there are no real connections."""
 
 
 class CallerConnection:
-    """Takes what a gateway answers."""
+    """Records the response of a gateway."""
 
     def __init__(self):
         self.status = 0
@@ -113,32 +113,32 @@
         self.stream = mock.Mock()
 
     def write_headers(self, start, headers, body=None):
-        """Take the head of an answer."""
+        """Record status and headers."""
         self.status = start.code
         self.headers = dict(headers.get_all())
         self.body = body or b""
         return done()
 
     def write(self, data):
-        """Take a piece of an answer."""
+        """Record a chunk of the body."""
         self.body += data
         return done()
 
     def finish(self):
-        """Take the end of an answer."""
+        """Ignore the end of the response."""
 
     def close(self):
-        """Take the end of the connection."""
+        """Record that the connection was closed."""
         self.status = 0
 
 
 def key_of(workspace: str) -> str:
-    """Return the key of a workspace."""
+    """Return the API key of a workspace."""
     return f"key-of-{workspace}"
 
 
 def holders(*workspaces: str) -> tuple[routes.KeyHolder, ...]:
-    """Return who holds which key."""
+    """Return the key holders of some workspaces."""
     return tuple(
         routes.KeyHolder(workspace=name, keys=(key_of(name),))
         for name in workspaces
@@ -146,21 +146,21 @@
 
 
 def fingerprint(body: bytes, kind: str) -> fingerprints.Fingerprint:
-    """Return the fingerprint of a request as gateways compute it."""
+    """Return a request's fingerprint as gateways compute it."""
     return fingerprints.compute(
         "POST", gatewaybed.HOST, f"/{kind}/x", "acme", body
     )
 
 
 def done() -> asyncio.Future:
-    """Return a future that is over."""
+    """Return a completed future."""
     future = asyncio.get_running_loop().create_future()
     future.set_result(None)
     return future
 
 
 class CrashWorld(relayworld.World):
-    """A fleet whose engines end under requests of certain bodies."""
+    """A fleet whose engines crash under requests with certain bodies."""
 
     def __init__(self, loop, seed: int, engines: int):
         super().__init__(loop, seed)
@@ -172,33 +172,34 @@
         # The kind of each poison request, by body.
         self.poisons: dict[bytes, str] = {}
         self.fixed = False
-        # Requests under which engines break all connections off, and live.
+        # Requests under which engines break all connections but keep running.
         self.spoiled: set[bytes] = set()
         self.serve_s: dict[bytes, float] = {}
         self.arrivals: collections.Counter = collections.Counter()
         self.sent: dict[bytes, list[float]] = collections.defaultdict(list)
         self.crashed: dict[bytes, list[float]] = collections.defaultdict(list)
-        # Requests that crash nothing: asked, answered whole, refused.
+        # Counts of proper requests, which crash no engine: sent, answered,
+        # refused.
         self.proper: collections.Counter = collections.Counter()
         self.tasks: set[asyncio.Task] = set()
 
-    def spawn(self, work) -> None:
-        """Run something that nobody waits for."""
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine) -> None:
+        """Run a coroutine in the background."""
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.end_task)
 
     def end_task(self, task: asyncio.Task) -> None:
-        """Pass the fault of a task on to the check."""
+        """Report the exception of a background task to the test."""
         self.tasks.discard(task)
-        fault = None if task.cancelled() else task.exception()
-        if fault is not None and not self.broken.done():
-            self.broken.set_exception(fault)
+        error = None if task.cancelled() else task.exception()
+        if error is not None and not self.broken.done():
+            self.broken.set_exception(error)
 
     # --- gateways and engines ----------------------------------------------
 
     def add_gateway(self, name: str, zone: str) -> None:
-        """Start a gateway, or start it again."""
+        """Start or restart a gateway."""
         super().add_gateway(name, zone)
         gateway = self.gateways[name]
         gateway.start_up.done = True
@@ -206,7 +207,7 @@
         gateway.pool = lambda address: WorldPool(self, address)
 
     def renew_endpoints(self) -> None:
-        """Let all engines that run announce themselves."""
+        """Announce all running engines."""
         for engine in self.engines.values():
             if engine.up:
                 self.announce_engine(engine)
@@ -214,7 +215,7 @@
     def announce_engine(
         self, engine: Engine, state=registry.EndpointState.SERVING
     ) -> None:
-        """Let an engine announce itself to the leader."""
+        """Announce an engine to the leader."""
         leader = self.leader()
         if leader is None:
             return
@@ -230,7 +231,7 @@
         leader.desk.wake()
 
     async def run_at(self, engine: Engine, body: bytes) -> None:
-        """Run a request to its end, or to the engine's."""
+        """Run a request until it completes or crashes the engine."""
         if body in self.spoiled:
             await asyncio.sleep(CRASH_AFTER_S)
             engine.end_calls()
@@ -243,20 +244,20 @@
         await asyncio.sleep(SERVE_S)
 
     def crash(self, engine: Engine) -> None:
-        """End an engine's process; another start follows."""
+        """End an engine's process and schedule its restart."""
         engine.up = False
         engine.end_calls()
         self.spawn(self.restart(engine))
 
     async def restart(self, engine: Engine) -> None:
-        """Start an engine again, under another name."""
+        """Restart an engine under another name."""
         await asyncio.sleep(RESTART_S)
         engine.starts += 1
         engine.up = True
         self.announce_engine(engine)
 
     async def probe(self, address: str) -> endpointprobe.ListenerState:
-        """Answer a connection attempt as the engine's VM does."""
+        """Return the result of a connection attempt to an engine."""
         await asyncio.sleep(2 * relayworld.TRAVEL_S)
         engine = self.engines[address]
         if engine.dark:
@@ -268,7 +269,7 @@
     # --- callers -----------------------------------------------------------
 
     def note_send(self, body: bytes) -> None:
-        """Note that a request has reached an engine."""
+        """Record that a request has reached an engine."""
         self.arrivals[body] += 1
         if body in self.poisons:
             self.sent[body].append(self.now)
@@ -280,7 +281,7 @@
         gateway=None,
         key: str = gatewaybed.KEY,
     ) -> CallerConnection:
-        """Send a request to a gateway, drawn by lot; return its answer."""
+        """Send a request to a given or random gateway; return the response."""
         gateway = gateway or self.rng.choice(list(self.gateways.values()))
         connection = CallerConnection()
         request = admission.CallerRequest(
@@ -305,7 +306,7 @@
         return connection
 
     async def repeat_poison(self, body: bytes, every_s: float) -> None:
-        """Send a poison request again and again, as new client attempts."""
+        """Send a poison request periodically, each time as a new attempt."""
         kind = self.rng.choice(("safe", "stream"))
         self.poisons[body] = kind
         while True:
@@ -313,7 +314,7 @@
             await asyncio.sleep(every_s)
 
     async def send_proper(self, body: bytes) -> None:
-        """Send a request that crashes nothing; try once more if it fails."""
+        """Send a proper request; retry once if it fails."""
         self.proper["asked"] += 1
         for _ in range(2):
             answer = await self.ask(body)
@@ -325,15 +326,15 @@
         self.proper["answered"] += answer.status == 200
 
     async def load(self, every_s: float) -> None:
-        """Send proper requests, each with a body of its own."""
+        """Send proper requests periodically, each with a different body."""
         for number in itertools.count():
             self.spawn(self.send_proper(b"proper %d" % number))
             await asyncio.sleep(every_s)
 
-    # --- what must hold ----------------------------------------------------
+    # --- checks ----------------------------------------------------
 
     def late_sends(self, body: bytes) -> list[float]:
-        """Return the sends of a poison request that the rule counts."""
+        """Return the sends of a poison request that the requirement limits."""
         crashed = sorted(self.crashed[body])
         if len(crashed) < CRASHES_BEFORE:
             return []
@@ -341,16 +342,16 @@
         return [at for at in self.sent[body] if at > known_at]
 
     def check_poisons(self) -> None:
-        """Check that no poison request is sent past what the rule allows."""
+        """Check that no poison request is sent more often than allowed."""
         for body in self.poisons:
             late = self.late_sends(body)
             assert len(late) <= ALLOWED_RETRIES, (
-                f"{body!r} reached engines {len(late)} times more;"
-                f" {len(self.crashed[body])} ended in all"
+                f"{body!r} reached engines {len(late)} times after its"
+                f" third crash was known; {len(self.crashed[body])} crashes"
             )
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         super().stop()
         for task in self.tasks:
             task.cancel()
@@ -358,7 +359,7 @@
 
 @contextlib.contextmanager
 def fleet(gateways: int = 9, engines: int = 16, seed: int = 1):
-    """Give a world with a fleet that runs, and what runs a coroutine in it."""
+    """Yield a world with a running fleet, and a function to run coroutines."""
     with virtualloop.virtual_time() as loop:
         world = CrashWorld(loop, seed, engines)
         with mock.patch.object(endpointprobe, "probe", world.probe):
@@ -366,7 +367,7 @@
             loop.run_until_complete(world.run(2.0))
             for gateway in world.gateways.values():
                 gatewaybed.settle_share(gateway, 1 / gateways)
-            # It has led for as long as the gateways have run.
+            # The leader must have led for as long as the gateways have run.
             world.leader().hub.retry_lender.started_at = float("-inf")
             try:
                 yield world, loop.run_until_complete
--- a/features/support/gatewaybed.py
+++ b/features/support/gatewaybed.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback with scripted endpoints, all on one loop."""
+"""A gateway on loopback and scripted endpoints in one event loop."""
 
 import asyncio
 import collections
@@ -26,7 +26,7 @@
 
 @attrs.define
 class Seen:
-    """A request as an endpoint saw it."""
+    """A request as an endpoint received it."""
 
     line: str
     headers: dict[str, str]
@@ -34,14 +34,14 @@
 
 
 class ScriptedEndpoint:
-    """Answers each request as its script says; the last word repeats."""
+    """Handles each request by the next act of its script; the last repeats."""
 
     def __init__(self, name: str, script: list[str]):
         self.name = name
         self.script = script
         self.seen: list[Seen] = []
         self.hung_up = asyncio.Event()
-        # Whether it did anything else than rejecting.
+        # Whether it handled a request other than by rejecting it.
         self.ran = False
         self.server = None
         self.pause_s = 0.0
@@ -49,7 +49,7 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
@@ -72,17 +72,17 @@
             writer.transport.abort()
 
     async def serve_one(self, reader, writer) -> bool:
-        """Serve one request; return whether the connection goes on."""
+        """Serve one request; return whether the connection stays open."""
         seen = await self.read_request(reader)
         self.seen.append(seen)
-        place = min(len(self.seen), len(self.script)) - 1
-        word = self.script[place]
-        self.ran = self.ran or word != "reject"
-        act = getattr(self, "do_" + word.replace(" ", "_"))
-        return await act(seen.headers, reader, writer)
+        position = min(len(self.seen), len(self.script)) - 1
+        act = self.script[position]
+        self.ran = self.ran or act != "reject"
+        handle = getattr(self, "do_" + act.replace(" ", "_"))
+        return await handle(seen.headers, reader, writer)
 
     async def read_request(self, reader) -> Seen:
-        """Read one request whole."""
+        """Read one complete request."""
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         lines = head.split("\r\n")
         headers = dict(
@@ -92,7 +92,7 @@
         return Seen(lines[0], headers, body)
 
     def body(self, _headers) -> bytes:
-        """Return the body of a whole answer."""
+        """Return the body of a complete response."""
         return b"done"
 
     def event(self, _headers, number: int) -> bytes:
@@ -100,12 +100,12 @@
         return event(number)
 
     def answer(self, headers) -> bytes:
-        """Return a whole answer."""
+        """Return a complete response."""
         body = self.body(headers)
         return self.head(headers, f"Content-Length: {len(body)}") + body
 
     def head(self, headers, *extra: str, status: str = "200 OK") -> bytes:
-        """Return the head of a genuine answer."""
+        """Return status line and headers of a genuine response."""
         lines = [
             f"HTTP/1.1 {status}",
             f"X-Request-Id: {headers.get('x-request-id', '')}",
@@ -115,18 +115,18 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
     async def do_answer(self, headers, _, writer) -> bool:
-        """Answer whole."""
+        """Send a complete response."""
         writer.write(self.answer(headers))
         return True
 
     async def do_fail(self, headers, _, writer) -> bool:
-        """Answer with a failure of its own."""
+        """Send a server error."""
         head = self.head(headers, "Content-Length: 4", status="500 Bad")
         writer.write(head + b"oops")
         return True
 
     async def do_reject(self, headers, _, writer) -> bool:
-        """Say that the request was not run."""
+        """Refuse the request as not run."""
         writer.write(
             self.head(
                 headers,
@@ -138,52 +138,52 @@
         return True
 
     async def do_reset(self, _headers, _reader, writer) -> bool:
-        """Close without an answer."""
+        """Reset the connection without a response."""
         writer.transport.abort()
         return False
 
     async def do_truncate(self, headers, _, writer) -> bool:
-        """Break off in the middle of the body."""
+        """Close the connection in the middle of the body."""
         writer.write(self.head(headers, "Content-Length: 4") + b"do")
         await writer.drain()
         return False
 
     async def do_misattribute(self, _, _reader, writer) -> bool:
-        """Send the answer to another request."""
+        """Send the response to another request."""
         other = {"x-request-id": "somebody-elses"}
         writer.write(self.head(other, "Content-Length: 4") + b"late")
         return True
 
     async def do_unsigned(self, headers, _, writer) -> bool:
-        """Send bytes that the endpoint did not sign."""
+        """Send a response without the endpoint's signature."""
         head = self.head(headers, "Content-Length: 4")
         writer.write(head.replace(b"X-Signature", b"X-Other") + b"fake")
         return True
 
     async def do_encoded(self, headers, _, writer) -> bool:
-        """Send a body in an encoding that nobody asked for."""
+        """Send a body in an encoding that was not requested."""
         head = self.head(headers, "Content-Length: 4", "Content-Encoding: gzip")
         writer.write(head + b"zzzz")
         return True
 
     async def do_twice(self, headers, _, writer) -> bool:
-        """Answer, and send a second answer right after it."""
+        """Send a response, and a second one right after it."""
         writer.write(self.answer(headers) * 2)
         return True
 
     async def do_unframed(self, headers, _, writer) -> bool:
-        """Answer without a length; the end of the connection ends it."""
+        """Send a response that ends with the connection, without a length."""
         writer.write(self.head(headers, "Connection: close") + b"done")
         return False
 
     async def do_hang(self, _headers, reader, _writer) -> bool:
-        """Say nothing until the other side goes away."""
+        """Send nothing until the peer closes the connection."""
         if not await reader.read(1):
             self.hung_up.set()
         return False
 
     async def do_stream(self, headers, _, writer) -> bool:
-        """Send all events after the last one that the caller has."""
+        """Send all events after the last one that the caller has received."""
         first = int(headers.get("last-event-id", 0)) + 1
         writer.write(self.head(headers, "Transfer-Encoding: chunked"))
         for number in range(first, EVENTS + 1):
@@ -192,14 +192,14 @@
         return True
 
     async def do_stall(self, headers, reader, writer) -> bool:
-        """Send two events and fall silent."""
+        """Send two events and then nothing."""
         writer.write(self.head(headers, "Transfer-Encoding: chunked"))
         write_chunk(writer, self.event(headers, 1))
         write_chunk(writer, self.event(headers, 2))
         return await self.do_hang(headers, reader, writer)
 
     async def do_pause(self, headers, _, writer) -> bool:
-        """Send two events, then the others after a pause."""
+        """Send two events, and the others after a pause."""
         writer.write(self.head(headers, "Transfer-Encoding: chunked"))
         for number in range(1, EVENTS + 1):
             if number == PAUSE_BEFORE:
@@ -210,12 +210,12 @@
         return True
 
     async def do_pause_twice(self, headers, reader, writer) -> bool:
-        """Send events after a short pause, and others after a longer one."""
+        """Send two events after a short pause, the others after another."""
         await asyncio.sleep(SHORT_PAUSE_S)
         return await self.do_pause(headers, reader, writer)
 
     async def do_die_in_event(self, headers, _, writer) -> bool:
-        """Send two events and half of the third, then break off."""
+        """Send two events and part of the third, then close the connection."""
         writer.write(self.head(headers, "Transfer-Encoding: chunked"))
         write_chunk(writer, self.event(headers, 1))
         write_chunk(writer, self.event(headers, 2))
@@ -231,13 +231,13 @@
 
 
 def write_chunk(writer, data: bytes) -> None:
-    """Write one chunk of a body without a length."""
+    """Write one chunk of a chunked body."""
     writer.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
 
 @attrs.frozen
 class Answer:
-    """What a caller got; `whole` if its end was not a broken connection."""
+    """The response that a caller got; `whole` if it was complete."""
 
     status: int
     headers: dict[str, str]
@@ -253,7 +253,7 @@
     deadline_ms: int = 5_000,
     extra: dict[str, str] | None = None,
 ) -> Answer:
-    """Send a request as a caller does; runs on a thread of its own."""
+    """Send a request like a caller; blocks, so it runs in its own thread."""
     connection = http.client.HTTPConnection(
         "127.0.0.1", port, timeout=TIMEOUT_S
     )
@@ -278,7 +278,7 @@
 
 
 def config(version: int = 1, **changes) -> routes.RouteConfig:
-    """Return a version with a route of each kind."""
+    """Return a route configuration with a route of each kind."""
     kinds = {
         "safe": routes.RequestKind.SAFE,
         "unsafe": routes.RequestKind.UNSAFE,
@@ -308,14 +308,14 @@
 
 
 def settle_share(gateway: server_lib.Gateway, share: float) -> None:
-    """Let a gateway have held a share of the retries for long."""
+    """Set a gateway's share of the retry slack as held for a long time."""
     floor = gateway.floor_share
     floor.proved_at = clocks.boot_time()
     floor.held = collections.deque([settledshare.HeldShare(share)])
 
 
 class Bed:
-    """A gateway whose beliefs the test sets by hand."""
+    """A gateway whose view of the cluster is set by the test."""
 
     def __init__(self):
         self.port = ports.free_port()
@@ -331,7 +331,7 @@
     def without_sockets(
         name: str, zone: str = "", port: int = 1
     ) -> server_lib.Gateway:
-        """Return a gateway that has not begun to listen."""
+        """Return a gateway that does not listen."""
         settings = settings_lib.GatewaySettings(
             gateway=name,
             availability_zone=zone,
@@ -346,7 +346,7 @@
         )
 
     def prove(self, age_s: float = 0.0) -> None:
-        """Prove that the version was current some seconds ago."""
+        """Set the age of the proof that the routes are current."""
         self.gateway.view.confirmed_at = clocks.boot_time() - age_s
 
     async def add(self, name: str, *script: str) -> ScriptedEndpoint:
@@ -354,25 +354,25 @@
         return await self.take(ScriptedEndpoint(name, list(script)))
 
     async def take(self, endpoint: ScriptedEndpoint) -> ScriptedEndpoint:
-        """Start an endpoint of the test's own and announce it."""
+        """Start a given endpoint and announce it."""
         await endpoint.start()
         self.endpoints.append(endpoint)
         self.announce(endpoint)
         return endpoint
 
     def announce(self, endpoint: ScriptedEndpoint, **changes) -> None:
-        """Let the gateway hear of an endpoint."""
-        said = {
+        """Announce an endpoint to the gateway."""
+        fields = {
             "endpoint": endpoint.name,
             "incarnation": 1,
             "seq": 1,
             "service": "shop",
             "address": endpoint.address,
         }
-        self.gateway.learn_endpoint(registry.Announcement(**(said | changes)))
+        self.gateway.learn_endpoint(registry.Announcement(**(fields | changes)))
 
     async def ask(self, path: str, **options) -> Answer:
-        """Send a request as a caller does."""
+        """Send a request like a caller and return the response."""
         return await asyncio.to_thread(ask, self.port, path, **options)
 
     async def close(self) -> None:
