--- a/src/_coltsfootroad/gateway/startup.py
+++ b/src/_coltsfootroad/gateway/startup.py
@@ -41,7 +41,7 @@
     Attributes:
         view: The routes in force.
         registry_since: Boot clock seconds since when the leader has received
-            announcements, None before the first response of a relay.
+            announcements, None before the first response to a poll.
         done: Whether requests need no longer be held; stays true.
         held: Number of requests that are held.
     """
--- a/src/_coltsfootroad/gateway/upstream.py
+++ b/src/_coltsfootroad/gateway/upstream.py
@@ -20,7 +20,7 @@
 from _coltsfootroad.shell import settings as settings_lib
 from _coltsfootroad.shell import traffic
 
-# Connecting normally takes 2 ms. TCP retransmits a lost SYN after one
+# Connecting within a site takes 2 ms. TCP retransmits a lost SYN after one
 # second, too late for a short request.
 CONNECT_TIMEOUT_S = 0.4
 # Part of the endpoint's keep-alive time in which an idle connection is reused;
