--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -221,7 +221,7 @@
             for key in list(load.own):
                 load.remove(key)
         before = len(context.gossip.transport.to)
-        context.gossip.full_at = -1e9
+        context.gossip.last_full_at = -1e9
         context.gossip.refresh()
         context.sent.append(len(context.gossip.transport.to) > before)
 
@@ -236,4 +236,4 @@
 def held_for(context, seconds):
     watch = watch_lib.Watch.__new__(watch_lib.Watch)
     watch.gateway = context.gateway
-    assert watch.hold_s() == seconds
+    assert watch.poll_hold_s() == seconds
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -18,10 +18,10 @@
 from _coltsfootroad.core import sends
 from _coltsfootroad.core import work as work_lib
 from _coltsfootroad.core import workload
-from _coltsfootroad.gateway import answers
 from _coltsfootroad.gateway import engines
 from _coltsfootroad.gateway import health
-from _coltsfootroad.gateway import tickets
+from _coltsfootroad.gateway import memoryreservation
+from _coltsfootroad.gateway import responses
 from _coltsfootroad.gateway import upstream
 
 NAME = "e"
@@ -247,11 +247,13 @@
 
 def apply_late_end(scene, status: int, end: upstream.CallEnd) -> None:
     """Apply the late end of a send to the earlier incarnation."""
-    sink = answers.HeldAnswer(None, "r")
+    sink = responses.BufferedResponse(None, "r")
     sink.status = status
     sink.genuine = status > 0
     choice = engines.Choice(endpoint=scene.earlier)
-    health.note(scene.endpoints, choice, sends.Outcome.LOST, end, sink, 3.2)
+    health.update_endpoints(
+        scene.endpoints, choice, sends.Outcome.LOST, end, sink, 3.2
+    )
 
 
 @then("a late failure of the earlier incarnation no longer counts")
@@ -263,7 +265,7 @@
 @then("a late misdirection of the earlier incarnation no longer counts")
 def no_tombstone(context):
     end = upstream.CallEnd.COMPLETE
-    apply_late_end(context.scene, answers.MISDIRECTED, end)
+    apply_late_end(context.scene, responses.MISDIRECTED, end)
     assert context.scene.endpoints.serving_endpoints(SERVICE)
 
 
@@ -277,6 +279,8 @@
 @then("the memory of the earlier incarnation no longer counts")
 def no_memory(context):
     gateway = NoGateway(context.scene.endpoints)
-    share = tickets.Share(endpoint=context.scene.earlier, tokens=1_000)
-    held = tickets.TicketSet(gateway, "r", "t", (share,))
-    assert asyncio.run(held.order(share, None)) == 0
+    share = memoryreservation.MemoryShare(
+        endpoint=context.scene.earlier, tokens=1_000
+    )
+    held = memoryreservation.MemoryReservation(gateway, "r", "t", (share,))
+    assert asyncio.run(held.send_request(share, None)) == 0
--- a/src/_coltsfootroad/gateway/crashreporter.py
+++ b/src/_coltsfootroad/gateway/crashreporter.py
@@ -1,4 +1,4 @@
-"""Reports crashes of endpoints to the leader until it has taken them."""
+"""Reports endpoint crashes to the leader until it acknowledges them."""
 
 import asyncio
 import collections
@@ -18,32 +18,33 @@
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("crash")
-# Crashes that are kept for a leader that has to learn of them anew.
+# Crashes that are retained to be reported again to a new leader.
 MAX_KEPT = 256
 RETRY_PAUSE_S = 0.2
 
 
 @attrs.define(eq=False)
 class CrashReporter:
-    """Keeps own reports: what is unsent, and what a new leader may lack.
+    """Stores and sends this gateway's crash reports.
 
     Attributes:
         gateway: Name of the gateway.
-        link: The way to the leader.
-        isolation: Keeps watched suspects apart from each other.
-        kept: All own crashes within the window, by endpoint.
-        unsent: Crashes that the leader has not taken, by endpoint.
-        cleared: Suspects that were answered, not taken by the leader yet.
-        stopped: Sends that the quarantine stopped, not taken by the leader yet.
-        watched: Suspects whose answers the leader wants to know of.
-        sizes: Suspects and watched requests by workspace and length.
-        sending: The task that sends, while anything is unsent.
+        link: Client of the leader.
+        isolation: Sends watched suspects to different endpoints.
+        recent: All own crashes within the time window, by endpoint; a new
+            leader needs them again.
+        unsent: Crashes that the leader has not acknowledged, by endpoint.
+        cleared: Suspects that got a response, not acknowledged yet.
+        stopped: Sends that the quarantine stopped, not acknowledged yet.
+        watched: Suspects whose responses are to be reported to the leader.
+        sizes: Counts suspects and watched requests by workspace and length.
+        sending: The task that sends while reports are unsent.
     """
 
     gateway: str
     link: leaderlink.LeaderLink
     isolation: isolation_lib.Isolation
-    kept: dict[crashes.EndpointKey, crashes.Crash] = attrs.Factory(dict)
+    recent: dict[crashes.EndpointKey, crashes.Crash] = attrs.Factory(dict)
     unsent: dict[crashes.EndpointKey, None] = attrs.Factory(dict)
     cleared: dict[fingerprints.Fingerprint, None] = attrs.Factory(dict)
     stopped: list[crashes.Crash] = attrs.Factory(list)
@@ -52,41 +53,41 @@
     sending: asyncio.Task | None = None
 
     def report(self, crash: crashes.Crash) -> None:
-        """Report a crash, or further suspects of one."""
-        known = self.kept.pop(crash.endpoint, None)
+        """Report a crash, or further suspects of a known crash."""
+        known = self.recent.pop(crash.endpoint, None)
         if known is not None:
             suspects = known.suspects + crash.suspects
-            kept = suspects[-crashrecord.MAX_SUSPECTS :]
-            crash = attrs.evolve(crash, suspects=kept)
-        self.kept[crash.endpoint] = crash
+            latest = suspects[-crashrecord.MAX_SUSPECTS :]
+            crash = attrs.evolve(crash, suspects=latest)
+        self.recent[crash.endpoint] = crash
         self.unsent[crash.endpoint] = None
-        while len(self.kept) > MAX_KEPT:
-            dropped = next(iter(self.kept))
-            del self.kept[dropped]
+        while len(self.recent) > MAX_KEPT:
+            dropped = next(iter(self.recent))
+            del self.recent[dropped]
             self.unsent.pop(dropped, None)
         self.count_sizes()
-        self.start()
+        self.start_sending()
 
     def report_stopped(self, stop: crashes.Crash) -> None:
         """Report a send that the quarantine stopped at an endpoint."""
         self.stopped.append(stop)
         del self.stopped[:-MAX_KEPT]
-        self.start()
+        self.start_sending()
 
     def report_again(self) -> None:
-        """Report everything to a leader that may know nothing of it."""
+        """Report all recent crashes to a leader that may not know them."""
         oldest = clocks.boot_time() - crashrecord.EVIDENCE_WINDOW_S
-        self.kept = {
+        self.recent = {
             endpoint: crash
-            for endpoint, crash in self.kept.items()
+            for endpoint, crash in self.recent.items()
             if crash.at >= oldest
         }
         self.count_sizes()
-        self.unsent = dict.fromkeys(self.kept)
-        self.start()
+        self.unsent = dict.fromkeys(self.recent)
+        self.start_sending()
 
     def watch(self, changes: watching.Changes) -> None:
-        """Take changes of the suspects that all gateways watch for."""
+        """Apply changes of the suspects that all gateways watch."""
         if not (changes.whole or changes.suspected or changes.unsuspected):
             return
         if changes.whole:
@@ -103,23 +104,23 @@
         )
 
     def may_suspect(self, workspace: str, body_bytes: int) -> bool:
-        """Return whether a request of this size may be a suspect."""
+        """Return whether a request of this size can be a suspect."""
         return self.sizes[workspace, body_bytes] > 0 if self.sizes else False
 
     def clear(self, fingerprint: fingerprints.Fingerprint) -> None:
-        """Take back what was reported of a request that was answered."""
+        """Withdraw the suspicion against a request that got a response."""
         is_watched = fingerprint in self.watched
         self.watched.pop(fingerprint, None)
         self.isolation.update(self.watched)
         if self.forget(fingerprint) or is_watched:
             LOG.info("suspect cleared", fingerprint=fingerprint.text)
             self.cleared[fingerprint] = None
-            self.start()
+            self.start_sending()
 
     def forget(self, fingerprint: fingerprints.Fingerprint) -> bool:
-        """Drop a suspect from what is kept; return whether it was there."""
+        """Remove a suspect from recent crashes; return whether it was found."""
         found = False
-        for endpoint, crash in list(self.kept.items()):
+        for endpoint, crash in list(self.recent.items()):
             left = tuple(
                 suspect
                 for suspect in crash.suspects
@@ -127,42 +128,42 @@
             )
             if len(left) != len(crash.suspects):
                 found = True
-                self.kept[endpoint] = attrs.evolve(crash, suspects=left)
+                self.recent[endpoint] = attrs.evolve(crash, suspects=left)
         self.count_sizes()
         return found
 
     def count_sizes(self) -> None:
-        """Count the suspects by size again."""
+        """Recount the suspects by size."""
         self.sizes = collections.Counter(
             quarantine.size_of(suspect.fingerprint)
-            for crash in self.kept.values()
+            for crash in self.recent.values()
             for suspect in crash.suspects
         )
         self.sizes.update(map(quarantine.size_of, self.watched))
 
     # --- sending -----------------------------------------------------------
 
-    def start(self) -> None:
-        """Begin to send unless that is under way or nothing is unsent."""
+    def start_sending(self) -> None:
+        """Start to send unless that is in progress or nothing is unsent."""
         idle = self.sending is None or self.sending.done()
         if idle and self.has_unsent:
             self.sending = asyncio.ensure_future(self.send())
 
     @property
     def has_unsent(self) -> bool:
-        """Return whether there is anything to report."""
+        """Return whether there are unsent reports."""
         return bool(self.unsent or self.cleared or self.stopped)
 
     async def send(self) -> None:
-        """Send until the leader has taken everything."""
+        """Send until the leader has acknowledged all reports."""
         while self.has_unsent:
             if not await self.send_once():
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def send_once(self) -> bool:
-        """Send what is unsent; return whether the leader has taken it."""
+        """Send the unsent reports; return whether the leader acknowledged."""
         now = clocks.boot_time()
-        sent = {endpoint: self.kept[endpoint] for endpoint in self.unsent}
+        sent = {endpoint: self.recent[endpoint] for endpoint in self.unsent}
         cleared = tuple(self.cleared)
         stopped = tuple(self.stopped)
         answer = await self.link.call(
@@ -178,33 +179,33 @@
                 ),
             )
         )
-        taken = isinstance(answer, outcomes.Done)
+        accepted = isinstance(answer, outcomes.Done)
         LOG.info(
-            "crashes reported" if taken else "crashes not reported",
+            "crashes reported" if accepted else "crashes not reported",
             endpoints=[endpoint.endpoint for endpoint in sent],
             suspects=sum(len(crash.suspects) for crash in sent.values()),
             cleared=len(cleared),
             stopped=len(stopped),
             took_s=round(clocks.boot_time() - now, 3),
         )
-        if taken:
-            self.settle(sent, cleared)
+        if accepted:
+            self.discard_reported(sent, cleared)
             self.stopped = [s for s in self.stopped if s not in stopped]
-        return taken
+        return accepted
 
-    def settle(
+    def discard_reported(
         self,
         sent: dict[crashes.EndpointKey, crashes.Crash],
         cleared: tuple[fingerprints.Fingerprint, ...],
     ) -> None:
-        """Forget what the leader has taken, unless it has changed since."""
+        """Drop acknowledged reports unless they have changed since."""
         for fingerprint in cleared:
             self.cleared.pop(fingerprint, None)
         for endpoint, crash in sent.items():
-            if self.kept.get(endpoint) is crash:
+            if self.recent.get(endpoint) is crash:
                 self.unsent.pop(endpoint, None)
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stop sending."""
         if self.sending is not None:
             self.sending.cancel()
--- a/src/_coltsfootroad/gateway/engines.py
+++ b/src/_coltsfootroad/gateway/engines.py
@@ -1,4 +1,4 @@
-"""Chooses endpoints for requests from what all gateways have sent."""
+"""Chooses endpoints for requests by the in-flight work of all gateways."""
 
 import random
 
@@ -13,16 +13,27 @@
 from _coltsfootroad.core import isolation as isolation_lib
 from _coltsfootroad.core import routes
 from _coltsfootroad.core import workload
-from _coltsfootroad.gateway import tickets
+from _coltsfootroad.gateway import memoryreservation
 
 
 @attrs.frozen(kw_only=True)
 class Choice:
-    """Where a request goes, and what decided it."""
+    """The endpoints chosen for a request, and the inputs of the choice.
+
+    Attributes:
+        endpoint: The endpoint that gets the request.
+        helpers: Engines that prefill parts of the prompt.
+        shares: Memory to reserve before the request is sent.
+        predicted_s: Predicted time to the first event.
+        cost: Cost of the placement, lower is better.
+        load: Work items in flight at the endpoint.
+        late_waiting: Requests of the service that wait past their target.
+        places: Batch slots of all endpoints of the service.
+    """
 
     endpoint: endpointset.KnownEndpoint
     helpers: tuple[endpointset.KnownEndpoint, ...] = ()
-    shares: tuple[tickets.Share, ...] = ()
+    shares: tuple[memoryreservation.MemoryShare, ...] = ()
     predicted_s: float = 0.0
     cost: float = 0.0
     load: int = 0
@@ -32,7 +43,7 @@
 
 @attrs.define
 class Chooser:
-    """Picks an endpoint of a service for one request."""
+    """Chooses an endpoint of a service for one request."""
 
     endpoints: endpointset.EndpointSet
     load: workload.Workload
@@ -55,9 +66,9 @@
         now: float,
         suspect: fingerprints.Fingerprint | None = None,
     ) -> Choice | None:
-        """Return the best endpoint, one not in `avoid` if there is any.
+        """Return the best endpoint, preferring those not in `avoid`.
 
-        A suspect of crashes goes where no other one is sent.
+        A request suspected of crashes gets an endpoint without other suspects.
         """
         self.load.expire(now)
         known = self.endpoints.serving_endpoints(spec.name)
@@ -70,25 +81,25 @@
             return None
         if spec.engine is None or prompt is None:
             return self.least_loaded(sampled)
-        return self.placed(spec, prompt, sampled, now)
+        return self.place_prompt(spec, prompt, sampled, now)
 
     def least_loaded(self, sampled: list[endpointset.KnownEndpoint]) -> Choice:
-        """Return the endpoint with the least work; the first of equal ones."""
+        """Return the endpoint with the least work, the first one on a tie."""
         loads = [len(self.book.current_work(known)) for known in sampled]
         least = min(loads)
         return Choice(endpoint=sampled[loads.index(least)], load=least)
 
-    def placed(
+    def place_prompt(
         self,
         spec: routes.ServiceSpec,
         prompt: engineplacement.Prompt,
         sampled: list[endpointset.KnownEndpoint],
         now: float,
     ) -> Choice | None:
-        """Return the cheapest engines for a prompt."""
+        """Return the engines with the lowest cost for a prompt."""
         engine = spec.engine
-        long = engineplacement.may_split(prompt)
-        places = self.limits.long if long else self.limits.short
+        is_long = engineplacement.may_split(prompt)
+        places = self.limits.long if is_long else self.limits.short
         picked = candidates.select_candidates(
             sampled,
             self.load.index,
@@ -106,7 +117,9 @@
             endpoint=lead,
             helpers=tuple(by_name[name] for name in placement.helpers),
             shares=tuple(
-                tickets.Share(endpoint=by_name[name], tokens=tokens)
+                memoryreservation.MemoryShare(
+                    endpoint=by_name[name], tokens=tokens
+                )
                 for name, tokens in placement.tickets
             ),
             predicted_s=placement.first_event_s,
@@ -118,19 +131,19 @@
         )
 
     def late_waiting(self, service: str) -> int:
-        """Return how many requests wait late at a service's endpoints."""
+        """Return how many of a service's requests wait past their target."""
         return sum(
             len(keys)
             for name, keys in self.load.index.late.items()
             if self.endpoints.serves(name, service)
         )
 
-    def reading_s(
+    def prefill_left_s(
         self,
         known: endpointset.KnownEndpoint,
         engine: routes.EngineSpec,
         now: float,
     ) -> float:
-        """Return for how long an engine is known to read prompts still."""
+        """Return the known remaining prefill time of an engine."""
         works = self.load.at_endpoint(known.name)
         return enginestate.remaining_prefill_s(works, engine, now)
--- a/src/_coltsfootroad/gateway/exchange.py
+++ b/src/_coltsfootroad/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller: from its head to its final answer."""
+"""Serves one caller's request, from its headers to its final response."""
 
 import asyncio
 
@@ -12,42 +12,51 @@
 from _coltsfootroad.core import startuplimit
 from _coltsfootroad.core import urgency
 from _coltsfootroad.gateway import admission
-from _coltsfootroad.gateway import answers
 from _coltsfootroad.gateway import contentguard
 from _coltsfootroad.gateway import engines
 from _coltsfootroad.gateway import forwarding
 from _coltsfootroad.gateway import health
+from _coltsfootroad.gateway import memoryreservation
 from _coltsfootroad.gateway import names as names_lib
 from _coltsfootroad.gateway import ownwork
 from _coltsfootroad.gateway import reply as reply_lib
+from _coltsfootroad.gateway import responses
 from _coltsfootroad.gateway import sendbudget
 from _coltsfootroad.gateway import startup
-from _coltsfootroad.gateway import tickets as tickets_lib
 from _coltsfootroad.gateway import upstream
 from _coltsfootroad.gateway import watchdog as watchdog_lib
 from _coltsfootroad.shell import clocks
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("request")
-# A send with less time than this cannot come back in time.
-MIN_SEND_S = 0.02
-SERVER_FAULT = 500
-# No endpoint could be reached: one that restarts announces itself within a
-# second, and callers come back only once.
-RETRY_AFTER_S = 0.2
-# Pause before memory is asked for again, drawn so that two long prompts
-# that met at the same engines do not meet again.
-MEMORY_PAUSE_S = (0.05, 0.2)
+# With less time left than this, no response can arrive before the deadline.
+MIN_REMAINING_TO_SEND_S = 0.02
+MIN_SERVER_ERROR_STATUS = 500
+# Stated when no endpoint is reachable: a restarted endpoint announces itself
+# within a second, and callers retry only once.
+NO_ENDPOINT_RETRY_AFTER_S = 0.2
+# Range of the random pause before memory is requested again, so that two long
+# prompts that competed for the same engines do not collide a second time.
+MEMORY_RETRY_PAUSE_S = (0.05, 0.2)
 
 
 @attrs.define(eq=False)
 class Exchange:
-    """Serves one request; every way out sends one final answer or closes.
+    """Serves one request; every path sends one response or closes.
 
     Attributes:
-        gateway: The gateway that serves it.
+        gateway: The gateway that serves the request.
         connection: The caller's connection.
-        request: What the caller sent.
+        request: The request as received.
+        request_id: Request ID from the caller's headers, may be empty.
+        admitted: The request's route and limits, None before admission.
+        sends: Counts the sends to endpoints, None before admission.
+        error_response: The last complete 5xx response of an endpoint.
+        reservation: Memory that is reserved for the current send.
+        guard: Applies the quarantine to the request.
+        budget: Charges retries to the service's retry budget.
+        work: Reports the current send as load.
+        reply: Writes to the caller's connection.
     """
 
     gateway: object
@@ -56,8 +65,8 @@
     request_id: str = ""
     admitted: admission.Admitted | None = None
     sends: sends_lib.SendHistory | None = None
-    fault: answers.HeldAnswer | None = None
-    tickets: tickets_lib.TicketSet | None = None
+    error_response: responses.BufferedResponse | None = None
+    reservation: memoryreservation.MemoryReservation | None = None
     guard: contentguard.ContentGuard = attrs.field(init=False)
     budget: sendbudget.SendBudget = attrs.field(init=False)
     work: ownwork.OwnWork = attrs.field(init=False)
@@ -74,17 +83,17 @@
             self.connection,
             self.request_id,
             self.request.arrived_at,
-            self.note_event,
+            self.record_event,
         )
 
     @property
     def ticket(self) -> str:
-        """Return the ticket of the present send, empty if it has none."""
-        return self.tickets.ticket if self.tickets is not None else ""
+        """Return the ticket of the current send's memory, empty for none."""
+        return self.reservation.ticket if self.reservation is not None else ""
 
     @property
     def names(self) -> names_lib.HeaderNames:
-        """Return the header names in use."""
+        """Return the names of the HTTP headers."""
         return self.gateway.dialect.names
 
     @property
@@ -94,38 +103,41 @@
 
     @property
     def service(self) -> routes.ServiceSpec:
-        """Return the service that the admitted request goes to."""
+        """Return the service that the admitted request is routed to."""
         return self.admitted.service
 
     def prompt_tokens(self) -> int:
-        """Return the length of the prompt, 0 for plain requests."""
+        """Return the prompt's length in tokens, 0 for plain requests."""
         prompt = self.admitted.prompt
         return prompt.prompt_tokens if prompt is not None else 0
 
     @property
     def deadline(self) -> float:
-        """Return the boot clock seconds by which it must be answered."""
+        """Return the deadline in seconds of the boot clock."""
         return self.admitted.deadline
 
     async def run(self) -> None:
-        """Serve the request until its final answer."""
+        """Serve the request until its final response is written."""
         start_up = self.gateway.start_up
         arrived_at = self.request.arrived_at
-        stated_s = self.request.stated_s(self.names)
-        await start_up.wait(arrived_at, stated_s, start_up.knows_routes)
+        stated_timeout_s = self.request.stated_timeout_s(self.names)
+        await start_up.wait(arrived_at, stated_timeout_s, start_up.knows_routes)
         now = clocks.boot_time()
-        found = admission.admit(
+        result = admission.admit(
             self.gateway, self.request, self.request_id, now
         )
-        if found.is_error():
-            self.reply.refuse(found.error.failure, found.error.route)
+        if result.is_error():
+            self.reply.refuse(result.error.failure, result.error.route)
             return
-        self.admitted = found.ok
+        self.admitted = result.ok
         self.sends = sends_lib.SendHistory(
             attempts=self.route.attempts, idempotent=self.route.idempotent
         )
         await start_up.wait(
-            arrived_at, stated_s, self.has_room, startup.CHOOSE_EVERY_S
+            arrived_at,
+            stated_timeout_s,
+            self.has_room,
+            startup.CHOICE_POLL_INTERVAL_S,
         )
         self.gateway.budget(self.service.name).on_request(now)
         left_s = self.deadline - clocks.boot_time()
@@ -139,11 +151,12 @@
             self.budget.release()
 
     def has_room(self) -> bool:
-        """Return whether an endpoint is known that serves it without a queue.
+        """Return whether a known endpoint can serve the request in time.
 
-        What has been waited already does not count: more of it helps nobody.
+        The time that the request has waited so far is not counted, as waiting
+        longer cannot make up for it.
         """
-        if not self.gateway.start_up.knows_some():
+        if not self.gateway.start_up.knows_first_endpoints():
             return False
         choice = self.choose(clocks.boot_time())
         if choice is None:
@@ -160,19 +173,21 @@
     # --- attempts --------------------------------------------------------
 
     async def attempt_until_done(self) -> None:
-        """Send to endpoints until one answers or none may be tried."""
+        """Send until an endpoint responds or no further send is allowed."""
         while True:
             if await self.guard.refuse():
                 return
             now = clocks.boot_time()
-            reason = self.unfit_reason(now)
+            reason = self.cannot_send_reason(now)
             choice = None if reason else self.choose(now)
             if choice is None:
-                self.give_up(reason or "no endpoint serves the request now")
+                self.send_final_failure(
+                    reason or "no endpoint serves the request now"
+                )
                 return
-            again_s = self.shed_retry_after_s(choice)
-            if again_s is not None:
-                self.turn_away(choice, again_s)
+            retry_after_s = self.shed_delay_s(choice)
+            if retry_after_s is not None:
+                self.shed(choice, retry_after_s)
                 return
             outcome = await self.attempt(choice)
             if outcome is sends_lib.Outcome.ANSWERED:
@@ -182,19 +197,21 @@
             self.guard.stopped = False
             if outcome is sends_lib.Outcome.NO_MEMORY:
                 self.sends.tried.clear()
-                await asyncio.sleep(self.gateway.rng.uniform(*MEMORY_PAUSE_S))
+                await asyncio.sleep(
+                    self.gateway.rng.uniform(*MEMORY_RETRY_PAUSE_S)
+                )
             reason = self.stop_reason(outcome)
             if reason:
-                self.give_up(reason)
+                self.send_final_failure(reason)
                 return
 
     def rank(self, choice: engines.Choice, now: float) -> int:
-        """Return the rank of a send at its engine."""
+        """Return the rank of a send in its engine's queue."""
         waited_s = now - self.request.arrived_at
         return urgency.engine_rank(self.route, waited_s, choice.predicted_s)
 
-    def shed_retry_after_s(self, choice: engines.Choice) -> float | None:
-        """Return when to come back if the request is not to be sent now."""
+    def shed_delay_s(self, choice: engines.Choice) -> float | None:
+        """Return the retry delay if the request is to be shed, else None."""
         prompt = self.admitted.prompt
         if prompt is None or self.sends.count:
             return None
@@ -209,7 +226,7 @@
         )
 
     def choose(self, now: float) -> engines.Choice | None:
-        """Return where to send next, None if that is nowhere."""
+        """Return the endpoints for the next send, None if there are none."""
         return self.gateway.chooser.choose(
             self.service,
             self.admitted.prompt,
@@ -218,25 +235,25 @@
             self.guard.isolated_as(),
         )
 
-    def unfit_reason(self, now: float) -> str:
-        """Return why nothing may be sent now, empty if something may."""
+    def cannot_send_reason(self, now: float) -> str:
+        """Return why nothing may be sent now, empty if sending is allowed."""
         view = self.gateway.view
         if not view.is_current(now):
             return f"routes were proved current {view.age_s(now):.1f} s ago"
-        if self.deadline - now < MIN_SEND_S:
+        if self.deadline - now < MIN_REMAINING_TO_SEND_S:
             return f"{self.deadline - now:.3f} s are left, too few to send"
         return ""
 
-    async def call_with_patience(
+    async def call_with_silence_timeout(
         self,
         choice: engines.Choice,
         pool: upstream.EndpointPool,
-        sink: answers.HeldAnswer,
+        sink: responses.BufferedResponse,
     ) -> upstream.CallEnd:
-        """Send, and turn to another endpoint while the caller still waits.
+        """Send, and stop if the endpoint is silent and another can be tried.
 
-        An endpoint may fall silent without a reset. Where nothing else may
-        be tried, its silence is waited out until the deadline.
+        An endpoint may stop responding without a TCP reset. If no other
+        endpoint may be tried, the send waits until the deadline.
         """
         request = forwarding.upstream_request(self, choice, clocks.boot_time())
         watchdog = watchdog_lib.Watchdog(self, choice)
@@ -257,56 +274,60 @@
             self.guard.send_timeout = None
             watchdog.stop()
 
-    def may_fail_over(self) -> bool:
-        """Return whether another endpoint takes over from a silent one.
+    def reserve_switch(self) -> bool:
+        """Reserve a retry on another endpoint; return whether that succeeded.
 
-        The retry is reserved at once: a send that is given up without one
-        would cut off an answer that may only be slow.
+        The retry is reserved before the current send is cancelled. Without
+        it, cancelling would lose a response that may only be slow.
         """
         if self.guard.on_trial or not self.sends.may_fail_over():
             return False
         now = clocks.boot_time()
-        if self.unfit_reason(now) or not self.has_untried(now):
+        if self.cannot_send_reason(now) or not self.has_untried_endpoint(now):
             return False
         return self.budget.reserve(now)
 
-    def has_untried(self, now: float) -> bool:
-        """Return whether an endpoint is left that it was not sent to."""
+    def has_untried_endpoint(self, now: float) -> bool:
+        """Return whether an endpoint is left that was not tried."""
         choice = self.choose(now)
         return (
             choice is not None and choice.endpoint.name not in self.sends.tried
         )
 
     async def reserve(self, choice: engines.Choice) -> bool:
-        """Set memory aside for a prompt above one engine's memory."""
-        self.tickets = tickets_lib.TicketSet(
+        """Reserve memory for a prompt that exceeds one engine's memory."""
+        self.reservation = memoryreservation.MemoryReservation(
             self.gateway,
             self.request_id,
             self.gateway.next_ticket(),
             choice.shares,
         )
-        granted = await self.tickets.reserve()
+        granted = await self.reservation.reserve()
         if not granted:
-            self.tickets = None
+            self.reservation = None
         return granted
 
-    def free_tickets(self) -> None:
-        """Free the memory that was set aside, without waiting for it."""
-        if self.tickets is not None:
-            self.gateway.spawn(self.tickets.release())
-            self.tickets = None
+    def release_reservation(self) -> None:
+        """Release the reserved memory in the background."""
+        if self.reservation is not None:
+            self.gateway.spawn(self.reservation.release())
+            self.reservation = None
 
     def stop_reason(self, outcome: sends_lib.Outcome) -> str:
-        """Return why nothing more is sent, empty to go on."""
+        """Return why no further send is allowed, empty if one is."""
         reason = self.sends.stop_reason(outcome)
         if self.guard.on_trial and self.sends.runs:
             return "its trial has ended"
         if reason or outcome is sends_lib.Outcome.NO_MEMORY:
             return reason
-        return "" if self.budget.may_go_on() else "the retry budget is used up"
+        return (
+            ""
+            if self.budget.allows_another_send()
+            else "the retry budget is used up"
+        )
 
     async def attempt(self, choice: engines.Choice) -> sends_lib.Outcome:
-        """Send to one endpoint and judge what came of it."""
+        """Send to one endpoint and return the outcome."""
         now = clocks.boot_time()
         endpoint = choice.endpoint
         self.sends.tried.add(endpoint.name)
@@ -333,12 +354,12 @@
             if self.guard.entry() is not None:
                 return sends_lib.Outcome.NOT_RUN
             self.sends.count += 1
-            end = await self.call_with_patience(choice, pool, sink)
+            end = await self.call_with_silence_timeout(choice, pool, sink)
         finally:
             self.work.end()
-            self.free_tickets()
-        outcome = self.judge(end, sink)
-        health.note(
+            self.release_reservation()
+        outcome = self.classify_outcome(end, sink)
+        health.update_endpoints(
             self.gateway.endpoints,
             choice,
             outcome,
@@ -361,51 +382,53 @@
         )
         if outcome is sends_lib.Outcome.ANSWERED:
             self.reply.complete(sink)
-            self.guard.note_answered()
+            self.guard.on_answered()
         elif end is upstream.CallEnd.LOST:
             has_output = bool(sink.parts) or self.reply.last_event_at > now
-            self.guard.note_lost(endpoint, now, has_output)
+            self.guard.on_lost(endpoint, now, has_output)
         elif end is upstream.CallEnd.STOPPED:
-            self.guard.note_stopped(endpoint, now, clocks.boot_time())
+            self.guard.on_stopped(endpoint, now, clocks.boot_time())
         return outcome
 
-    def make_sink(self) -> answers.HeldAnswer:
-        """Return what takes the answer."""
+    def make_sink(self) -> responses.BufferedResponse:
+        """Return the sink for an endpoint's response."""
         if self.route.kind is routes.RequestKind.STREAM:
-            return answers.StreamedAnswer(
+            return responses.StreamedResponse(
                 self.names, self.request_id, reply=self.reply
             )
-        return answers.HeldAnswer(self.names, self.request_id)
+        return responses.BufferedResponse(self.names, self.request_id)
 
-    def judge(
-        self, end: upstream.CallEnd, sink: answers.HeldAnswer
+    def classify_outcome(
+        self, end: upstream.CallEnd, sink: responses.BufferedResponse
     ) -> sends_lib.Outcome:
-        """Return what a send came to."""
+        """Return the outcome of a send."""
         if end is upstream.CallEnd.NOT_SENT:
             return sends_lib.Outcome.NOT_RUN
-        if sink.genuine and sink.says_not_run():
+        if sink.genuine and sink.proves_not_run():
             return sends_lib.Outcome.NOT_RUN
         self.sends.runs += 1
-        whole = end is upstream.CallEnd.COMPLETE and sink.ends_whole()
-        if not whole or not sink.genuine:
+        is_complete = (
+            end is upstream.CallEnd.COMPLETE and sink.is_body_complete()
+        )
+        if not is_complete or not sink.genuine:
             return sends_lib.Outcome.LOST
-        if sink.status >= SERVER_FAULT and self.route.idempotent:
-            self.fault = sink
+        if sink.status >= MIN_SERVER_ERROR_STATUS and self.route.idempotent:
+            self.error_response = sink
             return sends_lib.Outcome.FAULT
         return sends_lib.Outcome.ANSWERED
 
-    def give_up(self, reason: str) -> None:
-        """Send the final failure; "not run" only when it is proved."""
+    def send_final_failure(self, reason: str) -> None:
+        """Send the final failure, as "not run" only if that is proven."""
         if self.reply.streaming:
-            self.reply.break_off(reason)
-        elif self.fault is not None:
+            self.reply.abort_stream(reason)
+        elif self.error_response is not None:
             LOG.info(
-                "endpoint's failure passed on",
+                "endpoint's error response forwarded",
                 request=self.request_id,
-                status=self.fault.status,
+                status=self.error_response.status,
                 reason=reason,
             )
-            self.reply.complete(self.fault)
+            self.reply.complete(self.error_response)
         elif self.sends.runs:
             self.refuse(
                 errors.Failure(
@@ -417,36 +440,38 @@
         else:
             self.refuse(
                 admission.refusal(
-                    errors.ErrorCode.NO_ENDPOINT, reason, RETRY_AFTER_S
+                    errors.ErrorCode.NO_ENDPOINT,
+                    reason,
+                    NO_ENDPOINT_RETRY_AFTER_S,
                 )
             )
 
-    def turn_away(self, choice: engines.Choice, again_s: float) -> None:
-        """Refuse what would only lengthen a queue, before it is sent."""
+    def shed(self, choice: engines.Choice, retry_after_s: float) -> None:
+        """Refuse a request that would only lengthen a queue."""
         self.refuse(
             admission.refusal(
                 errors.ErrorCode.QUEUE_FULL,
                 f"{choice.late_waiting} late requests wait at"
                 f" {choice.places} places, the first event is predicted"
                 f" after {choice.predicted_s:.2f} s",
-                again_s,
+                retry_after_s,
             )
         )
 
     def refuse(self, failure: errors.Failure) -> None:
-        """Answer with a failure of our own."""
+        """Respond with a failure that the gateway itself reports."""
         self.reply.refuse(failure, self.route.name)
 
-    def note_event(self) -> None:
-        """Note that an event came: reading is over, a pause has ended."""
+    def record_event(self) -> None:
+        """Record an event: prefill is complete, or a pause has ended."""
         now = clocks.boot_time()
-        if self.work.note_event(now - self.reply.last_event_at):
-            self.gateway.note_first_event(now - self.request.arrived_at)
+        if self.work.record_event(now - self.reply.last_event_at):
+            self.gateway.record_first_event(now - self.request.arrived_at)
 
     def on_deadline(self) -> None:
-        """Answer a request whose time is over."""
+        """Respond to a request whose deadline has passed."""
         if self.reply.streaming:
-            self.reply.break_off("the time is over")
+            self.reply.abort_stream("the time is over")
             return
         if not self.sends.count:
             self.refuse(
--- a/src/_coltsfootroad/gateway/upstream.py
+++ b/src/_coltsfootroad/gateway/upstream.py
@@ -1,7 +1,7 @@
-"""Connections to endpoints: kept ones, and one request on each.
+"""Sends requests to endpoints over pooled HTTP/1.1 connections.
 
-tornado's connection class parses and frames; this module decides which
-connection may carry which request and what the end of an answer proves.
+tornado parses and frames the messages; this module decides which connection
+may carry a request, and what the end of a call proves about its execution.
 """
 
 import abc
@@ -20,21 +20,21 @@
 from _coltsfootroad.shell import settings as settings_lib
 from _coltsfootroad.shell import traffic
 
-# A connection within a place takes 2 ms; a lost packet is sent again after
-# a second, which no short request can wait for.
+# Connecting within a site takes 2 ms. TCP retransmits a lost SYN after one
+# second, too late for a short request.
 CONNECT_TIMEOUT_S = 0.4
-# A kept connection is used within this part of the time that the endpoint
-# promised to keep it; closing may cross with the next request.
-KEEP_SHARE = 0.5
-# Used when an endpoint does not say how long it keeps connections.
-UNSTATED_KEEP_S = 1.0
+# Part of the endpoint's keep-alive time in which an idle connection is reused;
+# later, the endpoint may close it while the next request is in flight.
+KEEP_ALIVE_FRACTION = 0.5
+# Used when an endpoint states no keep-alive time.
+DEFAULT_KEEP_ALIVE_S = 1.0
 MAX_IDLE_PER_ENDPOINT = 8
 MAX_HEADER_BYTES = 64 * 1024
 MAX_BODY_BYTES = 64 * 1024 * 1024
 CHUNK_BYTES = 64 * 1024
-# How the bodies of requests and answers are counted.
+# Traffic counters of request and response bodies.
 REQUEST_KIND = "request"
-ANSWER_KIND = "answer"
+RESPONSE_KIND = "answer"
 
 
 class CallEnd(enum.Enum):
@@ -44,13 +44,13 @@
     NOT_SENT = "not_sent"
     LOST = "lost"
     SILENT = "silent"
-    # Ended by the gateway, as the request is not to run any longer.
+    # Cancelled by the gateway because the request went into quarantine.
     STOPPED = "stopped"
 
 
 @attrs.frozen(kw_only=True)
 class UpstreamRequest:
-    """What is sent: the request line, headers and body as they are."""
+    """The request line, headers and body that are sent unchanged."""
 
     method: str
     target: str
@@ -58,76 +58,76 @@
     body: bytes = b""
 
 
-class AnswerSink(abc.ABC):
-    """Takes an answer as it arrives."""
+class ResponseSink(abc.ABC):
+    """Receives a response as it arrives."""
 
     @abc.abstractmethod
     def on_head(self, status: int, reason: str, headers) -> bool:
-        """Take status and headers; False gives the answer up."""
+        """Receive status and headers; return False to discard the body."""
 
     @abc.abstractmethod
     def on_data(self, data: bytes):
-        """Take bytes of the body; may return a future to wait for."""
+        """Receive body bytes; may return a future to wait for."""
 
 
-def always() -> bool:
-    """Let everything be sent."""
+def allow_send() -> bool:
+    """Allow every request to be sent."""
     return True
 
 
 @attrs.define
-class KeptConnection:
-    """An idle connection and until when it may be used."""
+class IdleConnection:
+    """An idle connection and the time until which it may be reused."""
 
     stream: iostream.IOStream
     use_until: float
 
 
-class AnswerReader(httputil.HTTPMessageDelegate):
-    """Passes tornado's parsing events to a sink."""
+class ResponseReader(httputil.HTTPMessageDelegate):
+    """Forwards tornado's parser callbacks to a sink."""
 
-    def __init__(self, sink: AnswerSink):
+    def __init__(self, sink: ResponseSink):
         self.sink = sink
         self.headers = None
         self.complete = False
         self.status = 0
-        self.given_up = False
+        self.aborted = False
 
     def headers_received(self, start_line, headers):
-        """Take the head of an answer; interim ones are dropped."""
+        """Receive the headers; 1xx responses are ignored."""
         if start_line.code < 200:
             return
         self.status = start_line.code
         self.headers = headers
-        self.given_up = not self.sink.on_head(
+        self.aborted = not self.sink.on_head(
             start_line.code, start_line.reason, headers
         )
         return
 
     def data_received(self, chunk):
-        """Take a piece of the body."""
-        traffic.received(ANSWER_KIND, len(chunk))
-        return None if self.given_up else self.sink.on_data(chunk)
+        """Receive a chunk of the body."""
+        traffic.received(RESPONSE_KIND, len(chunk))
+        return None if self.aborted else self.sink.on_data(chunk)
 
     def finish(self):
-        """Note that the framing says that the answer is whole."""
+        """Mark the response as complete according to its framing."""
         self.complete = True
 
     def on_connection_close(self):
-        """Leave the answer as incomplete."""
+        """Leave the response marked as incomplete."""
 
 
 @attrs.define
 class EndpointPool:
-    """The connections to one endpoint's address."""
+    """The connection pool of one endpoint's address."""
 
     address: str
-    idle: list[KeptConnection] = attrs.Factory(list)
+    idle: list[IdleConnection] = attrs.Factory(list)
     busy: int = 0
     opened: int = 0
 
     async def connect(self) -> iostream.IOStream | None:
-        """Return a new connection, None if there is none in time."""
+        """Return a new connection, None on failure or time-out."""
         raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sockets.tune(raw)
         stream = iostream.IOStream(raw)
@@ -146,27 +146,29 @@
         return stream
 
     def take_idle(self) -> iostream.IOStream | None:
-        """Return a kept connection that is surely still good."""
+        """Return an idle connection that is safe to reuse, None if none is."""
         now = clocks.boot_time()
         while self.idle:
-            kept = self.idle.pop()
-            if now < kept.use_until and is_quiet(kept.stream):
-                return kept.stream
-            kept.stream.close()
+            idle_connection = self.idle.pop()
+            if now < idle_connection.use_until and is_open_without_input(
+                idle_connection.stream
+            ):
+                return idle_connection.stream
+            idle_connection.stream.close()
         return None
 
     async def call(
         self,
         request: UpstreamRequest,
-        sink: AnswerSink,
+        sink: ResponseSink,
         reuse: bool,
-        may_send: Callable[[], bool] = always,
+        may_send: Callable[[], bool] = allow_send,
     ) -> CallEnd:
-        """Send a request and read its answer.
+        """Send a request and read its response.
 
-        A request that must not run twice goes on a new connection: when a
-        kept one turns out closed, nothing proves that it did not run.
-        `may_send` is asked right before the first byte is written.
+        A request that must not run twice needs a new connection: if a reused
+        one turns out to be closed, nothing proves that the request did not
+        run. `may_send` is called right before the first byte is written.
         """
         stream = self.take_idle() if reuse else None
         if stream is None:
@@ -186,11 +188,11 @@
         self,
         stream: iostream.IOStream,
         request: UpstreamRequest,
-        sink: AnswerSink,
+        sink: ResponseSink,
     ) -> CallEnd:
-        """Run one request on an open connection, then keep or close it."""
+        """Run one request on a connection, then pool or close it."""
         connection = http1connection.HTTP1Connection(stream, True, PARAMETERS)
-        reader = AnswerReader(sink)
+        reader = ResponseReader(sink)
         keep = False
         try:
             start = httputil.RequestStartLine(
@@ -199,14 +201,14 @@
             written = connection.write_headers(
                 start, request.headers, request.body
             )
-            written.add_done_callback(forget_failure)
+            written.add_done_callback(consume_exception)
             traffic.sent(REQUEST_KIND, len(request.body))
             connection.finish()
             stream.set_nodelay(True)
             await connection.read_response(reader)
-            whole = reader.complete and stream.error is None
-            keep = whole and may_keep(stream, reader, written.done())
-            return CallEnd.COMPLETE if whole else CallEnd.LOST
+            is_complete = reader.complete and stream.error is None
+            keep = is_complete and is_reusable(stream, reader, written.done())
+            return CallEnd.COMPLETE if is_complete else CallEnd.LOST
         except (iostream.StreamClosedError, OSError):
             return CallEnd.LOST
         finally:
@@ -216,20 +218,20 @@
                 stream.close()
 
     def keep(self, stream: iostream.IOStream, headers) -> None:
-        """Keep a connection for as long as the endpoint promises to."""
-        promised_s = keep_alive_s(headers)
-        if len(self.idle) >= MAX_IDLE_PER_ENDPOINT or promised_s <= 0:
+        """Pool a connection for part of the endpoint's keep-alive time."""
+        keep_alive_time_s = keep_alive_s(headers)
+        if len(self.idle) >= MAX_IDLE_PER_ENDPOINT or keep_alive_time_s <= 0:
             stream.close()
             return
-        use_until = clocks.boot_time() + promised_s * KEEP_SHARE
-        # A close callback makes the stream watch for the other side's end.
-        stream.set_close_callback(do_nothing)
-        self.idle.append(KeptConnection(stream, use_until))
+        use_until = clocks.boot_time() + keep_alive_time_s * KEEP_ALIVE_FRACTION
+        # With a close callback, the stream detects that the peer closes.
+        stream.set_close_callback(ignore_close)
+        self.idle.append(IdleConnection(stream, use_until))
 
     def close(self) -> None:
         """Close the idle connections."""
-        for kept in self.idle:
-            kept.stream.close()
+        for idle_connection in self.idle:
+            idle_connection.stream.close()
         self.idle.clear()
 
 
@@ -241,20 +243,20 @@
 )
 
 
-def do_nothing() -> None:
-    """Take the end of an idle connection; it is found closed later."""
+def ignore_close() -> None:
+    """Ignore that an idle connection closed; `take_idle` detects it."""
 
 
-def forget_failure(future: asyncio.Future) -> None:
-    """Fetch a failed write's error; the reading side reports it."""
+def consume_exception(future: asyncio.Future) -> None:
+    """Retrieve a failed write's exception; the reader reports the failure."""
     if not future.cancelled():
         future.exception()
 
 
-def is_quiet(stream: iostream.IOStream) -> bool:
-    """Return whether an idle connection is open and nothing has come in.
+def is_open_without_input(stream: iostream.IOStream) -> bool:
+    """Return whether an idle connection is open and has no unread input.
 
-    Bytes that an endpoint sends unasked would be read as the next answer.
+    Unsolicited bytes would be parsed as the next response.
     """
     if stream.closed() or stream._read_buffer_size:  # noqa: SLF001
         return False
@@ -264,33 +266,33 @@
         return True
     except OSError:
         return False
-    # Neither an end nor extra bytes may stand before the next answer.
+    # The peer has closed the connection or sent unsolicited bytes.
     del waiting
     return False
 
 
-def may_keep(
-    stream: iostream.IOStream, reader: AnswerReader, all_written: bool
+def is_reusable(
+    stream: iostream.IOStream, reader: ResponseReader, all_written: bool
 ) -> bool:
     """Return whether a connection can carry another request.
 
-    An endpoint may answer before it has read a long body; what is left of
-    that body would then be taken for the next request.
+    An endpoint may respond before it has read a long body; the rest of that
+    body would then be parsed as the next request.
     """
-    if reader.given_up or not all_written or stream.closed():
+    if reader.aborted or not all_written or stream.closed():
         return False
     tokens = reader.headers.get("Connection", "").lower()
     framed = (
         "Content-Length" in reader.headers
         or "Transfer-Encoding" in reader.headers
     )
-    return framed and "close" not in tokens and is_quiet(stream)
+    return framed and "close" not in tokens and is_open_without_input(stream)
 
 
 def keep_alive_s(headers) -> float:
-    """Return for how many seconds the other side keeps a connection."""
-    for word in headers.get("Keep-Alive", "").split(","):
-        name, _, value = word.strip().partition("=")
+    """Return the peer's keep-alive time in seconds."""
+    for parameter in headers.get("Keep-Alive", "").split(","):
+        name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
             return float(value)
-    return UNSTATED_KEEP_S
+    return DEFAULT_KEEP_ALIVE_S
