--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -28,7 +28,7 @@
 from _coltsfootroad.core import request as request_lib
 from _coltsfootroad.fakes import fleet as fleet_lib
 from _coltsfootroad.shell import disk as disk_lib
-from _coltsfootroad.shell import wirecalls
+from _coltsfootroad.shell import wireformats
 
 REPEATS = 2_000
 REQUESTS = 300
@@ -188,10 +188,10 @@
                 for n in range(min(workspaces, BUSY_WORKSPACES))
             ),
         )
-        data = wirecalls.CALLS.encode(request)
-        reply = hub.on_sync(wirecalls.CALLS.decode(data).ok, 0.0)
-        answer = wirecalls.CALLS.encode(reply)
-        wirecalls.CALLS.decode(answer)
+        data = wireformats.CALLS.encode(request)
+        reply = hub.on_sync(wireformats.CALLS.decode(data).ok, 0.0)
+        answer = wireformats.CALLS.encode(reply)
+        wireformats.CALLS.decode(answer)
         sizes[:] = [len(data), len(answer)]
 
     cost = micros(beat, 30)
@@ -221,7 +221,7 @@
         say(
             f"config_bytes[{workspaces} workspaces]",
             f"whole {len(json.dumps(store.document))},"
-            f" delta {len(wirecalls.CALLS.encode(delta))}",
+            f" delta {len(wireformats.CALLS.encode(delta))}",
         )
         say(
             f"adopt_us[{workspaces} workspaces]",
--- a/features/soak/driver.py
+++ b/features/soak/driver.py
@@ -171,7 +171,7 @@
             self.fleet.replicas[fault.target].kill()
             await asyncio.sleep(fault.for_s)
             await self.fleet.replace(fault.target)
-        self.link.learn(tuple(self.fleet.seeds()))
+        self.link.add_addresses(tuple(self.fleet.seeds()))
 
     async def do_storage(self, fault):
         """Let a replica's disk be slow or full for some time."""
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -62,7 +62,7 @@
     watch = asyncio.ensure_future(book.lateness.watch_loop())
     try:
         await fleet.start(size.replicas, size.gateways)
-        link = links.GrpcControlLink(tuple(fleet.seeds()))
+        link = links.GrpcControlClient(tuple(fleet.seeds()))
         places = [
             endpoints_lib.Place(n, book, link, rng)
             for n in range(size.endpoints)
--- a/features/steps/bounds_steps.py
+++ b/features/steps/bounds_steps.py
@@ -50,7 +50,7 @@
 
 @then("the log was synced after its last byte and before the answer")
 def synced(context):
-    path = context.data.log_path(context.data.sequence)
+    path = context.data.log_path(context.data.log_sequence)
     size = path.stat().st_size
     context.data.close()
     assert size > 100
--- a/features/steps/links_steps.py
+++ b/features/steps/links_steps.py
@@ -14,7 +14,7 @@
 from _coltsfootroad.control import peers
 from _coltsfootroad.shell import channels
 from _coltsfootroad.shell import links
-from _coltsfootroad.shell import wirecalls
+from _coltsfootroad.shell import wireformats
 from features.soak import proxy as proxy_lib
 
 # How long messages are sent once a path is whole.
@@ -31,13 +31,13 @@
 
     async def on_call(_):
         await asyncio.sleep(context.answer_s)
-        return wirecalls.CALLS.encode(outcomes.Done())
+        return wireformats.CALLS.encode(outcomes.Done())
 
     async def run():
         server = links.make_server(on_call, lambda *_: None)
         port = server.add_insecure_port("127.0.0.1:0")
         await server.start()
-        link = links.GrpcControlLink((f"127.0.0.1:{port}",))
+        link = links.GrpcControlClient((f"127.0.0.1:{port}",))
         try:
             return await story(link)
         finally:
@@ -94,7 +94,7 @@
 @when("a call is made, and {seconds:g} s later the path is whole")
 def path_whole(context, seconds):
     async def on_call(_):
-        return wirecalls.CALLS.encode(outcomes.Done())
+        return wireformats.CALLS.encode(outcomes.Done())
 
     async def run():
         server = links.make_server(on_call, lambda *_: None)
@@ -103,7 +103,7 @@
         proxy = proxy_lib.Proxy(("127.0.0.1", port))
         await proxy.start()
         proxy.set_way(context.way)
-        link = links.GrpcControlLink((proxy.address,))
+        link = links.GrpcControlClient((proxy.address,))
         first = asyncio.ensure_future(link.call(messages.ReadRoutes(), seconds))
         await asyncio.sleep(seconds)
         proxy.set_way("")
@@ -194,7 +194,7 @@
 
         if stream == 1 and self.fault.startswith("handler"):
             await self.break_handler(requests, on_peer, context)
-        async for ack in links.acknowledged(requests, on_peer, context):
+        async for ack in links.acknowledge_messages(requests, on_peer, context):
             yield ack
 
     async def break_handler(self, requests, on_peer, context):
@@ -319,7 +319,7 @@
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             link.send(VOTE)
-            link.note_heard()
+            link.record_contact()
             await asyncio.sleep(0.05)
 
     with_peer_link(context, send)
--- a/features/steps/quorum_steps.py
+++ b/features/steps/quorum_steps.py
@@ -12,7 +12,7 @@
 from _coltsfootroad.control import quorum
 from _coltsfootroad.control import raft as raft_lib
 from _coltsfootroad.control import replicas
-from _coltsfootroad.shell import quorumlog
+from _coltsfootroad.shell import quorumlogger
 from features.support import controlmachine
 from features.support import replacements
 
@@ -64,9 +64,9 @@
         if replica.node is None:
             continue
         log = logs.setdefault(
-            id(replica.node), quorumlog.QuorumLog(replica.node)
+            id(replica.node), quorumlogger.QuorumLogger(replica.node)
         )
-        log.note(site.clock(replica))
+        log.log_changes(site.clock(replica))
 
 
 @then('the replicas log "{what}" with {field}')
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -73,7 +73,7 @@
     """Return the leader's answer by way of one process; None without one."""
 
     async def run():
-        link = links.GrpcControlLink((address,))
+        link = links.GrpcControlClient((address,))
         end = time.monotonic() + seconds
         try:
             while time.monotonic() < end:
@@ -139,7 +139,7 @@
 @then("the relay names no leader and ends well when told to stop")
 def alone(context):
     async def hello():
-        link = links.GrpcControlLink(tuple(context.relays))
+        link = links.GrpcControlClient(tuple(context.relays))
         answer = await link.call(messages.ReplicaHello(), 10.0)
         await link.close()
         return answer.ok
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -172,13 +172,13 @@
 
 def count_answers(answered, process):
     """Note what a process is relayhistories.asked, and by whom."""
-    right = process.desk.answer
+    right = process.watch_server.answer
 
     async def answer(question):
         answered.append((process.name, type(question)))
         return await right(question)
 
-    process.desk.answer = answer
+    process.watch_server.answer = answer
 
 
 @then("the leader has answered at most half of the questions of gateways")
--- a/features/steps/replicafaults_steps.py
+++ b/features/steps/replicafaults_steps.py
@@ -17,7 +17,7 @@
 from _coltsfootroad.control import reads
 from _coltsfootroad.core import errors
 from _coltsfootroad.shell import controlserver
-from _coltsfootroad.shell import quorumlog
+from _coltsfootroad.shell import quorumlogger
 from features.support import replacements
 
 
@@ -34,8 +34,8 @@
 
     async def run():
         broken = asyncio.get_running_loop().create_future()
-        server = types.SimpleNamespace(broken=broken)
-        controlserver.ControlServer.guard(server, fail)
+        server = types.SimpleNamespace(fatal_error=broken)
+        controlserver.ControlServer.run_critical(server, fail)
         context.ended_with = broken.exception()
 
     with logbook.TestHandler() as handler:
@@ -90,9 +90,9 @@
         for replica in site.replicas.values():
             if replica.node is not None:
                 known = context.logs.setdefault(
-                    id(replica.node), quorumlog.QuorumLog(replica.node)
+                    id(replica.node), quorumlogger.QuorumLogger(replica.node)
                 )
-                known.note(site.clock(replica))
+                known.log_changes(site.clock(replica))
 
 
 @then("the first is refused as internal and the second is applied")
--- a/features/steps/retrylending_steps.py
+++ b/features/steps/retrylending_steps.py
@@ -12,7 +12,7 @@
 
 from _coltsfootroad.control import outcomes
 from _coltsfootroad.control import retrylending
-from _coltsfootroad.shell import wirecalls
+from _coltsfootroad.shell import wireformats
 from features.support import replacements
 
 NOW = 1_000.0
@@ -27,7 +27,7 @@
 
 def over_the_wire(message):
     """Return what arrives where a message is sent."""
-    return wirecalls.CALLS.decode(wirecalls.CALLS.encode(message)).ok
+    return wireformats.CALLS.decode(wireformats.CALLS.encode(message)).ok
 
 
 @given("a leader since {leads:g} s that has lent {lent:d} retries")
--- a/features/steps/routedelta_steps.py
+++ b/features/steps/routedelta_steps.py
@@ -11,7 +11,7 @@
 from _coltsfootroad.core import routedelta
 from _coltsfootroad.core import routes
 from _coltsfootroad.gateway import watch as watch_lib
-from _coltsfootroad.shell import wirecalls
+from _coltsfootroad.shell import wireformats
 from features.support import gatewaybed
 
 
@@ -94,7 +94,7 @@
     found = news(context)
     assert (found.routes_delta is not None) == (how == "as changes")
     assert not found.is_empty
-    size = len(wirecalls.CALLS.encode(found))
+    size = len(wireformats.CALLS.encode(found))
     assert size <= most, size
 
 
@@ -103,7 +103,9 @@
 def in_force(context):
     gateway = without_listener()
     gateway.view.adopt(context.old)
-    decoded = wirecalls.CALLS.decode(wirecalls.CALLS.encode(news(context))).ok
+    decoded = wireformats.CALLS.decode(
+        wireformats.CALLS.encode(news(context))
+    ).ok
     watch = watch_lib.Watch(gateway)
     assert watch.take_routes(watch.question(), decoded)
     config = gateway.view.table.config
--- a/features/steps/timers_steps.py
+++ b/features/steps/timers_steps.py
@@ -16,7 +16,7 @@
 from _coltsfootroad.shell import disk
 from _coltsfootroad.shell import metrics
 from _coltsfootroad.shell import settings as settings_lib
-from _coltsfootroad.shell import wirecalls
+from _coltsfootroad.shell import wireformats
 from features.soak import fleet as fleet_lib
 from features.support import running
 
@@ -98,8 +98,8 @@
             commit=40,
             sent_at=1.0,
         )
-        server.on_peer("x#d", address, wirecalls.PEERS.encode(append))
-        context.asked = list(server.link.addresses)
+        server.on_peer("x#d", address, wireformats.PEERS.encode(append))
+        context.asked = list(server.control_client.addresses)
         for link in server.peer_links.values():
             await link.close()
         server.timer.cancel()
@@ -123,17 +123,17 @@
         stub.state = server.node.state
         stub.raft = server.node.raft
         server.node = stub
-        server.wake()
+        server.run_tick()
         stub.forward_to = server.clock() + seconds
         if what == "a message of a peer":
             vote = peers.VoteReply(
                 term=1, sender="x", pre=False, granted=False, asked_term=1
             )
-            server.on_peer("x", "", wirecalls.PEERS.encode(vote))
+            server.on_peer("x", "", wireformats.PEERS.encode(vote))
         elif what == "a call":
             await server.call(messages.ReadStatus())
         else:
-            server.plan_process()
+            server.schedule_processing()
         await asyncio.sleep(0.5)
         server.timer.cancel()
         folder.close()
--- a/features/support/crashworld.py
+++ b/features/support/crashworld.py
@@ -227,7 +227,7 @@
             state=state,
         )
         leader.hub.take_announcement(announcement, 8.0, self.now)
-        leader.desk.wake()
+        leader.watch_server.wake_watches()
 
     async def run_at(self, engine: Engine, body: bytes) -> None:
         """Run a request to its end, or to the engine's."""
--- a/features/support/ratedlinks.py
+++ b/features/support/ratedlinks.py
@@ -10,7 +10,7 @@
 from _coltsfootroad.control import log as log_lib
 from _coltsfootroad.control import raft as raft_lib
 from _coltsfootroad.control import replicas
-from _coltsfootroad.shell import wirecalls
+from _coltsfootroad.shell import wireformats
 
 STEP_S = 0.005
 TRAVEL_S = 0.001
@@ -134,7 +134,7 @@
             if ready.entries:
                 raft.synced(ready.entries[-1].index, self.now)
             for outgoing in ready.messages:
-                size = len(wirecalls.PEERS.encode(outgoing.message)) + 60
+                size = len(wireformats.PEERS.encode(outgoing.message)) + 60
                 link = self.links[identity]
                 arrives = link.leave(size, at, outgoing.to) + TRAVEL_S
                 item = (arrives, next(self.order), outgoing.to)
--- a/features/support/relayhistories.py
+++ b/features/support/relayhistories.py
@@ -15,7 +15,7 @@
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import registry
 from _coltsfootroad.core import relaychoice
-from _coltsfootroad.shell import watchdesk
+from _coltsfootroad.shell import watchserver
 from features.support import relayworld
 from features.support import virtualloop
 
@@ -251,7 +251,7 @@
 
 RIGHT_ON_WATCH = mirror_lib.Mirror.on_watch
 RIGHT_TAKE = mirror_lib.Mirror.take
-RIGHT_ANSWER = watchdesk.WatchDesk.answer_now
+RIGHT_ANSWER = watchserver.WatchServer.answer_now
 RIGHT_TAKE_OVER = hub_lib.Hub.take_over
 
 
@@ -307,7 +307,7 @@
         dates_late,
     ),
     "relays answer each other's questions": (
-        watchdesk.WatchDesk,
+        watchserver.WatchServer,
         "answer_now",
         answers_relays,
     ),
--- a/features/support/relayworld.py
+++ b/features/support/relayworld.py
@@ -25,10 +25,10 @@
 from _coltsfootroad.core import registry
 from _coltsfootroad.gateway import watch as watch_lib
 from _coltsfootroad.shell import clocks
+from _coltsfootroad.shell import leaderpoller
 from _coltsfootroad.shell import links
-from _coltsfootroad.shell import relayloop
-from _coltsfootroad.shell import watchdesk
-from _coltsfootroad.shell import wirecalls
+from _coltsfootroad.shell import watchserver
+from _coltsfootroad.shell import wireformats
 from features.support import gatewaybed
 
 ZONES = ("za", "zb", "zc")
@@ -55,7 +55,7 @@
     # Its hub of a term that has ended while it stood still.
     deposed: hub_lib.Hub | None = None
     mirror: mirror_lib.Mirror = attrs.field(init=False)
-    desk: watchdesk.WatchDesk = attrs.field(init=False)
+    watch_server: watchserver.WatchServer = attrs.field(init=False)
 
     def start(self) -> None:
         """Start, knowing nothing."""
@@ -69,24 +69,26 @@
             availability_zone=self.zone,
         )
         self.mirror = mirror_lib.Mirror(relay)
-        self.desk = watchdesk.WatchDesk(self.mirror, self.ask_leader)
-        link = links.GrpcControlLink(tuple(self.world.replica_addresses()))
+        self.watch_server = watchserver.WatchServer(
+            self.mirror, self.answer_as_leader
+        )
+        link = links.GrpcControlClient(tuple(self.world.replica_addresses()))
         link.channels = WorldChannels(self.world, self.name, self.zone)
-        self.desk.relay = relayloop.RelayLoop(
+        self.watch_server.leader_poller = leaderpoller.LeaderPoller(
             self.mirror,
             link,
             lambda: self.hub is not None,
-            self.desk.wake,
+            self.watch_server.wake_watches,
             self.world.broken,
         )
-        self.desk.relay.start()
+        self.watch_server.leader_poller.start()
 
     def stop(self) -> None:
         """Die."""
         self.up = False
         self.hub = self.deposed = None
-        self.desk.relay.stop()
-        self.desk.wake()
+        self.watch_server.leader_poller.stop()
+        self.watch_server.wake_watches()
 
     def lead(self) -> None:
         """Begin to lead, as a replica does."""
@@ -103,7 +105,7 @@
             heard_since=heard_since,
         )
         self.hub.take_relay(self.mirror.relay, hub_lib.NEVER)
-        self.desk.wake()
+        self.watch_server.wake_watches()
 
     def step_down(self) -> None:
         """Lead no longer; a process that stands still learns of it later."""
@@ -120,7 +122,7 @@
     async def answer(self, message) -> object:
         """Answer a call of another process."""
         if isinstance(message, watching.Watch | watching.RelayWatch):
-            return await self.desk.answer(message)
+            return await self.watch_server.answer(message)
         if self.hub is None:
             return outcomes.NotLeader(hint=self.world.leader_address())
         if isinstance(message, crashreports.ReportCrashes):
@@ -131,7 +133,7 @@
             return self.hub.retry_lender.lend(message, self.world.now)
         return self.world.apply(message)
 
-    async def ask_leader(self, question) -> object:
+    async def answer_as_leader(self, question) -> object:
         """Answer as the leader, or say who leads."""
         if self.hub is None:
             return outcomes.NotLeader(hint=self.world.leader_address())
@@ -179,15 +181,15 @@
         if not target.up:
             return Error("unavailable")
         started = target.incarnation
-        decoded = wirecalls.CALLS.decode(wirecalls.CALLS.encode(message)).ok
+        decoded = wireformats.CALLS.decode(wireformats.CALLS.encode(message)).ok
         answer = await target.answer(decoded)
         await world.thaw(target.name)
         if not target.up or target.incarnation != started:
             return Error("unavailable")
         await world.travel(target.name, self.name)
-        return Ok(wirecalls.CALLS.decode(wirecalls.CALLS.encode(answer)).ok)
+        return Ok(wireformats.CALLS.decode(wireformats.CALLS.encode(answer)).ok)
 
-    def forget(self, _address):
+    def close_channel(self, _address):
         """Keep nothing."""
 
     async def close(self):
@@ -233,7 +235,7 @@
         for process in self.processes.values():
             if process.hub is not None:
                 process.hub.publish_quarantine(self.now)
-                process.desk.wake()
+                process.watch_server.wake_watches()
         return answer
 
     def add_process(self, name, zone, can_lead) -> None:
@@ -319,7 +321,7 @@
         self.acked.append((self.now, version))
         for process in self.processes.values():
             if process.hub is not None:
-                process.desk.wake()
+                process.watch_server.wake_watches()
         return True
 
     def announce(self, name: str, state=registry.EndpointState.SERVING) -> None:
@@ -337,7 +339,7 @@
         )
         self.endpoints[name] = announcement
         leader.hub.take_announcement(announcement, 8.0, self.now)
-        leader.desk.wake()
+        leader.watch_server.wake_watches()
 
     def renew_endpoints(self) -> None:
         """Let all endpoints announce themselves again."""
@@ -416,7 +418,7 @@
                     mark = process.hub.last_mark
                     process.hub.expire(self.now)
                     if process.hub.last_mark != mark:
-                        process.desk.wake()
+                        process.watch_server.wake_watches()
             if self.now >= renew_at:
                 renew_at = self.now + 1.2
                 self.renew_endpoints()
@@ -451,6 +453,6 @@
         """End all tasks."""
         for process in self.processes.values():
             if process.up:
-                process.desk.relay.stop()
+                process.watch_server.leader_poller.stop()
         for gateway in self.gateways.values():
             gateway.watch.task.cancel()
--- a/src/_coltsfootroad/commands/control.py
+++ b/src/_coltsfootroad/commands/control.py
@@ -16,7 +16,7 @@
 
 LOG = logs.logger("main")
 # Adds a platform's own calls at an address, passed on by a way to the leader.
-Adapt = Callable[[links.ControlLink, str], None]
+Adapt = Callable[[links.ControlClient, str], None]
 BOOTSTRAP = flags.DEFINE_bool(
     "bootstrap",
     False,
@@ -36,7 +36,7 @@
     )
 
 
-def no_adapter(_link: links.ControlLink, _address: str) -> None:
+def no_adapter(_link: links.ControlClient, _address: str) -> None:
     """Add no calls of a platform."""
 
 
@@ -48,7 +48,7 @@
         common.SETTINGS.value, settings_lib.ControlSettings
     )
     if loaded.is_ok():
-        server.link.learn(loaded.ok.peers())
+        server.control_client.add_addresses(loaded.ok.peers())
         LOG.info("settings reloaded", peers=list(loaded.ok.peers()))
     else:
         LOG.error("settings not reloaded", fault=loaded.error)
@@ -69,12 +69,12 @@
             " already; start without the flag"
         )
         return common.EXIT_USAGE
-    adapt(controlserver.LeaderLink(server), settings.api_listen)
+    adapt(controlserver.ForwardingControlClient(server), settings.api_listen)
     await server.start()
     common.on_reload(lambda: reload(server))
     # They may have changed between the first reading and now.
     reload(server)
-    went_well = await common.wait_for_stop([server.broken], server.dump)
+    went_well = await common.wait_for_stop([server.fatal_error], server.dump)
     await server.stop()
     return common.EXIT_OK if went_well else common.EXIT_FAILED
 
@@ -84,12 +84,12 @@
 ) -> int:
     """Run a process without a disk until it is told to stop."""
     relay = controlrelay.ControlRelay(
-        settings, controlserver.relay_of(settings)
+        settings, controlserver.make_relay(settings)
     )
-    adapt(relay.link, settings.api_listen)
+    adapt(relay.control_client, settings.api_listen)
     await relay.start()
     common.on_reload(lambda: reload(relay))
-    went_well = await common.wait_for_stop([relay.broken], relay.dump)
+    went_well = await common.wait_for_stop([relay.fatal_error], relay.dump)
     await relay.stop()
     return common.EXIT_OK if went_well else common.EXIT_FAILED
 
--- a/src/_coltsfootroad/commands/entry.py
+++ b/src/_coltsfootroad/commands/entry.py
@@ -24,7 +24,7 @@
     return entryserver.EntryServer(
         settings=settings,
         incarnation=new_incarnation(),
-        control=links.GrpcControlLink(settings.control),
+        control=links.GrpcControlClient(settings.control),
         client=endpointclient.HttpEndpointClient(settings.max_connections),
         metrics=metrics.Metrics.start("colts-entry"),
     )
@@ -41,7 +41,7 @@
         server = build(settings)
         await server.start()
         if not await common.wait_for_stop(
-            [server.broken], server.dump, server.asked_to_stop
+            [server.fatal_error], server.dump, server.asked_to_stop
         ):
             return common.EXIT_FAILED
         await server.drain()
--- a/src/_coltsfootroad/commands/standalone.py
+++ b/src/_coltsfootroad/commands/standalone.py
@@ -17,7 +17,7 @@
 from _coltsfootroad.shell import entryserver
 from _coltsfootroad.shell import logs
 from _coltsfootroad.shell import metrics as metrics_lib
-from _coltsfootroad.shell import operators
+from _coltsfootroad.shell import operatorapi
 from _coltsfootroad.shell import settings as settings_lib
 from _coltsfootroad.shell import web
 
@@ -40,7 +40,7 @@
         """Start the parts, the control state first."""
         if not self.control.bootstrap():
             LOG.info("data folder {} is in use, going on", self.data_folder)
-        self.control.wake()
+        self.control.run_tick()
         await self.wait_for_leader()
         await self.put_config()
         self.listen_admin()
@@ -76,13 +76,13 @@
 
     def listen_admin(self) -> None:
         """Serve operators, dump and metrics of all parts."""
-        routes = operators.routes(self.control) + web.admin_routes(
+        routes = operatorapi.routes(self.control) + web.admin_routes(
             self.settings.admin_token, self.dump, self.entry.metrics
         )
         self.admin = web.listen(
-            operators.application(routes),
+            operatorapi.make_application(routes),
             self.settings.admin_listen,
-            operators.MAX_BODY_BYTES,
+            operatorapi.MAX_BODY_BYTES,
         )
 
     def dump(self) -> bytes:
@@ -129,7 +129,7 @@
             admin_token=settings.admin_token,
         ),
         incarnation=entry_command.new_incarnation(),
-        control=controlserver.LocalLink(control),
+        control=controlserver.LocalControlClient(control),
         client=endpointclient.HttpEndpointClient(MAX_CONNECTIONS),
         metrics=metrics,
     )
@@ -175,7 +175,7 @@
         system = build(settings)
         await system.start()
         LOG.info("try: curl http://{}/v1/addresses", settings.listen)
-        broken = [system.entry.broken, system.control.broken]
+        broken = [system.entry.fatal_error, system.control.fatal_error]
         went_well = await common.wait_for_stop(broken, system.dump)
         await system.stop()
         return common.EXIT_OK if went_well else common.EXIT_FAILED
--- a/src/_coltsfootroad/gateway/front.py
+++ b/src/_coltsfootroad/gateway/front.py
@@ -124,7 +124,7 @@
             max_buffer_size=limits.body_bytes + limits.header_bytes,
             idle_connection_timeout=limits.idle_timeout_s + IDLE_MARGIN_S,
         )
-        with listening.at(address):
+        with listening.errors_at(address):
             self.server.add_sockets([early.take(address)])
 
     def apply(self, limits: routes.CallerLimits) -> None:
--- a/src/_coltsfootroad/gateway/gossip.py
+++ b/src/_coltsfootroad/gateway/gossip.py
@@ -123,7 +123,7 @@
     async def start(self, address: str) -> None:
         """Open the socket."""
         loop = asyncio.get_running_loop()
-        with listening.at(address):
+        with listening.errors_at(address):
             await loop.create_datagram_endpoint(
                 lambda: self, local_addr=settings_lib.split_address(address)
             )
@@ -134,7 +134,7 @@
 
     def datagram_received(self, data, addr):
         """Take another gateway's summary."""
-        traffic.received(SUMMARY_KIND, len(data))
+        traffic.count_received(SUMMARY_KIND, len(data))
         try:
             wire = DECODER.decode(data)
         except msgspec.MsgspecError as error:
@@ -226,7 +226,7 @@
             return
         data = ENCODER.encode(wire)
         for member in members:
-            traffic.sent(SUMMARY_KIND, len(data))
+            traffic.count_sent(SUMMARY_KIND, len(data))
             address = settings_lib.split_address(member.peer_address)
             self.transport.sendto(data, address)
 
--- a/src/_coltsfootroad/gateway/server.py
+++ b/src/_coltsfootroad/gateway/server.py
@@ -166,7 +166,7 @@
             await asyncio.sleep(TICK_S)
             self.load.expire(clocks.boot_time())
             self.gossip.refresh()
-            traffic.PROCESS.log(clocks.boot_time())
+            traffic.PROCESS.log_if_due(clocks.boot_time())
 
     async def drain(self) -> None:
         """Leave the addresses, serve on, and end within the grace period."""
--- a/src/_coltsfootroad/gateway/upstream.py
+++ b/src/_coltsfootroad/gateway/upstream.py
@@ -106,7 +106,7 @@
 
     def data_received(self, chunk):
         """Take a piece of the body."""
-        traffic.received(ANSWER_KIND, len(chunk))
+        traffic.count_received(ANSWER_KIND, len(chunk))
         return None if self.given_up else self.sink.on_data(chunk)
 
     def finish(self):
@@ -200,7 +200,7 @@
                 start, request.headers, request.body
             )
             written.add_done_callback(forget_failure)
-            traffic.sent(REQUEST_KIND, len(request.body))
+            traffic.count_sent(REQUEST_KIND, len(request.body))
             connection.finish()
             stream.set_nodelay(True)
             await connection.read_response(reader)
--- a/src/_coltsfootroad/gateway/watch.py
+++ b/src/_coltsfootroad/gateway/watch.py
@@ -38,7 +38,7 @@
 FAULTS = logs.LineLimit(5, 10.0)
 # A gateway needs no more of what the control state speaks, and starts sooner
 # without the rest.
-MESSAGES = wire.Wire.of(
+MESSAGES = wire.WireFormat.of(
     watching.Watch,
     watching.News,
     watching.AskElsewhere,
@@ -60,7 +60,7 @@
     def __init__(self, gateway):
         self.gateway = gateway
         settings = gateway.settings
-        self.channels = channels_lib.Channels(MESSAGES)
+        self.channels = channels_lib.ChannelPool(MESSAGES)
         self.choice = relaychoice.RelayChoice(
             gateway=settings.gateway,
             zone=settings.availability_zone,
--- a/src/_coltsfootroad/shell/__init__.py
+++ b/src/_coltsfootroad/shell/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, files and timers round the core."""
+"""I/O around the core: sockets, files, timers, HTTP and logging."""
--- a/src/_coltsfootroad/shell/channels.py
+++ b/src/_coltsfootroad/shell/channels.py
@@ -1,4 +1,8 @@
-"""gRPC channels to processes of ours, with the library's cleverness off."""
+"""Opens gRPC channels between processes of this project.
+
+Retries, proxies, name resolution and shared connections of gRPC are turned
+off: the callers in this package have their own rules for them.
+"""
 
 import asyncio
 
@@ -18,16 +22,15 @@
 OPTIONS = [
     ("grpc.enable_retries", 0),
     ("grpc.enable_http_proxy", 0),
-    # Otherwise a second program may bind the same address and take a share of
-    # its calls.
+    # With port reuse, a second process could bind the same address and receive
+    # part of the calls.
     ("grpc.so_reuseport", 0),
     ("grpc.service_config_disable_resolution", 1),
-    # Connections go silent without a reset: a ping each second finds that,
-    # and the servers must not take the pings for abuse.
+    # A connection can stop delivering packets without a reset. A ping each
+    # second detects that; servers must not treat the pings as abuse.
     ("grpc.keepalive_time_ms", 1_000),
     ("grpc.keepalive_timeout_ms", 1_500),
-    # Where data is on its way, an answer to a ping is waited for this long,
-    # and for a minute if it is left alone.
+    # Time-out of a ping while data is in flight; the default is one minute.
     ("grpc.http2.ping_timeout_ms", 1_500),
     ("grpc.http2.min_ping_interval_without_data_ms", 500),
     ("grpc.http2.max_ping_strikes", 0),
@@ -35,50 +38,50 @@
     ("grpc.http2.max_pings_without_data", 0),
     ("grpc.max_reconnect_backoff_ms", 1_000),
     ("grpc.initial_reconnect_backoff_ms", 200),
-    # This is also how long an attempt to connect may take; left alone, one
-    # that began while the path was cut is waited for during 20 s.
+    # Also bounds a connection attempt: by default, an attempt that starts
+    # during a network partition blocks the channel for 20 s.
     ("grpc.min_reconnect_backoff_ms", 500),
-    # A channel that replaces a silent one needs a connection of its own.
+    # A channel that replaces an unresponsive one needs its own connection.
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.so_reuseport", 0),
     ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
 ]
-# Longest that calls go on on a channel that another call gave up.
+# How long calls in flight may continue on a channel that is being closed.
 CLOSE_GRACE_S = 3.0
-# A channel that nobody has used for this long is closed: its pings cost both
-# sides processor time and bytes.
-IDLE_S = 5.0
+# Unused channels are closed after this time: their pings cost both sides CPU
+# time and bandwidth.
+IDLE_TIMEOUT_S = 5.0
 
 
 def target(address: str) -> str:
-    """Return a gRPC target that needs no name lookup."""
+    """Return a gRPC target that needs no name resolution."""
     return f"ipv4:{address}"
 
 
 def open_channel(address: str) -> grpc.aio.Channel:
-    """Return a new channel to a process."""
+    """Open a channel to a process."""
     return grpc.aio.insecure_channel(target(address), options=OPTIONS)
 
 
 @attrs.define(eq=False)
-class Channels:
-    """Open channels by address, and calls on them.
+class ChannelPool:
+    """Keeps open channels by address and makes calls on them.
 
     Attributes:
-        calls: The messages that are exchanged.
-        opened: The channels.
-        used_at: When each was used last.
-        closing: Channels that are being closed.
+        calls: Encodes requests and decodes responses.
+        opened: Open channels by address.
+        used_at: Boot time of the last use of each channel, by address.
+        closing: Tasks that close channels.
     """
 
-    calls: wire.Wire
+    calls: wire.WireFormat
     opened: dict[str, grpc.aio.Channel] = attrs.Factory(dict)
     used_at: dict[str, float] = attrs.Factory(dict)
     closing: set[asyncio.Future] = attrs.Factory(set)
 
     def channel(self, address: str) -> grpc.aio.Channel:
-        """Return the channel to a process."""
+        """Return the channel to a process, opened if there is none."""
         now = clocks.boot_time()
         self.close_idle(now)
         self.used_at[address] = now
@@ -89,35 +92,35 @@
     async def call(
         self, address: str, message: object, timeout_s: float
     ) -> Result[object, str]:
-        """Return one process's answer, or text saying why there is none."""
+        """Call a process; return its response, or why there is none."""
         method = self.channel(address).unary_unary(CALL)
         try:
             data = await method(self.calls.encode(message), timeout=timeout_s)
         except grpc.aio.UsageError:
             return Error("the channel is closed")
         except asyncio.CancelledError:
-            # Another call found the channel silent and closed it.
+            # Another call timed out on this channel and closed it.
             if asyncio.current_task().cancelling():
                 raise
             return Error("the channel was closed")
         except grpc.aio.AioRpcError as error:
             if error.code() is grpc.StatusCode.DEADLINE_EXCEEDED:
-                self.forget(address)
+                self.close_channel(address)
             return Error(error.code().name.lower())
         self.used_at[address] = clocks.boot_time()
         return self.calls.decode(data).map_error(lambda fault: fault.message)
 
     def close_idle(self, now: float) -> None:
-        """Close channels that are not used any more."""
+        """Close channels that have been unused for `IDLE_TIMEOUT_S`."""
         for address, used_at in list(self.used_at.items()):
-            if now - used_at > IDLE_S:
-                self.forget(address)
+            if now - used_at > IDLE_TIMEOUT_S:
+                self.close_channel(address)
 
-    def forget(self, address: str) -> None:
-        """Close a channel, as it may have gone silent; the next is new.
+    def close_channel(self, address: str) -> None:
+        """Close a channel; the next call opens a new one.
 
-        Calls that are still on it go on for a while: a process that is slow
-        to answer one may well answer the others.
+        Other calls in flight on it may continue for `CLOSE_GRACE_S`: a process
+        that is slow to respond to one call may still respond to the others.
         """
         self.used_at.pop(address, None)
         channel = self.opened.pop(address, None)
--- a/src/_coltsfootroad/shell/controlrelay.py
+++ b/src/_coltsfootroad/shell/controlrelay.py
@@ -1,8 +1,9 @@
-"""Stands in for a replica on a VM without a disk.
+"""Runs a relay: a control process without a disk.
 
-A platform may start `colts-control` on VMs that have no disk. Nothing durable
-can be kept there, so such a process takes no part in votes. It tells gateways
-of its availability zone what is new, and whoever else asks where the leader is.
+A platform may start `colts-control` on a vm that has no disk. Such a process
+cannot store anything durably, so it is no replica and does not vote. It answers
+watches of gateways in its availability zone, and redirects all other calls to
+the leader.
 """
 
 import asyncio
@@ -13,39 +14,43 @@
 from _coltsfootroad.control import replicas
 from _coltsfootroad.control import watching
 from _coltsfootroad.shell import dumps
+from _coltsfootroad.shell import leaderpoller
 from _coltsfootroad.shell import links
 from _coltsfootroad.shell import logs
 from _coltsfootroad.shell import metrics as metrics_lib
-from _coltsfootroad.shell import operators
-from _coltsfootroad.shell import relayloop
+from _coltsfootroad.shell import operatorapi
 from _coltsfootroad.shell import settings as settings_lib
 from _coltsfootroad.shell import traffic
-from _coltsfootroad.shell import watchdesk
+from _coltsfootroad.shell import watchserver
 from _coltsfootroad.shell import web
-from _coltsfootroad.shell import wirecalls
+from _coltsfootroad.shell import wireformats
 
 LOG = logs.logger("relay")
-# What it says of itself in place of a replica's role.
+# Stands in `ReplicaInfo.role`, in place of a replica's role.
 ROLE = "relay"
 
 
 class ControlRelay:
-    """Answers gateways from a copy, and others by naming the leader."""
+    """Answers gateways from a watch cache and other callers with a redirect."""
 
     def __init__(
         self, settings: settings_lib.ControlSettings, relay: watching.Relay
     ):
         self.settings = settings
-        self.link = links.GrpcControlLink(settings.peers())
+        self.control_client = links.GrpcControlClient(settings.peers())
         self.mirror = mirror_lib.Mirror(relay)
-        self.desk = watchdesk.WatchDesk(self.mirror, self.name_leader)
-        self.broken: asyncio.Future = asyncio.get_running_loop().create_future()
-        self.desk.relay = relayloop.RelayLoop(
+        self.watch_server = watchserver.WatchServer(
+            self.mirror, self.redirect_to_leader
+        )
+        self.fatal_error: asyncio.Future = (
+            asyncio.get_running_loop().create_future()
+        )
+        self.watch_server.leader_poller = leaderpoller.LeaderPoller(
             self.mirror,
-            self.link,
+            self.control_client,
             lambda: False,
-            self.desk.wake,
-            self.broken,
+            self.watch_server.wake_watches,
+            self.fatal_error,
         )
         self.grpc_server = None
         self.http_server = None
@@ -62,28 +67,28 @@
         self.metrics.gauge(
             "colts_control_relay_connected",
             "1 while the leader answers this relay",
-            lambda: self.desk.relay.connected,
+            lambda: self.watch_server.leader_poller.is_connected,
         )
         traffic.PROCESS.add_metrics(self.metrics)
 
     def listen_admin(self) -> None:
-        """Open the operators' listener."""
+        """Open the listener for operators."""
         routes = web.admin_routes(
             self.settings.admin_token, self.dump, self.metrics
         )
         self.http_server = web.listen(
-            operators.application(routes),
+            operatorapi.make_application(routes),
             self.settings.admin_listen,
-            operators.MAX_BODY_BYTES,
+            operatorapi.MAX_BODY_BYTES,
         )
 
     async def start(self) -> None:
-        """Open the sockets and begin to watch the leader."""
+        """Open the listeners and start polling the leader."""
         self.listen_admin()
         self.grpc_server = links.make_server(self.on_call, self.on_peer)
         links.listen(self.grpc_server, self.settings.listen)
         await self.grpc_server.start()
-        self.desk.relay.start()
+        self.watch_server.leader_poller.start()
         LOG.info(
             "started",
             replica=self.settings.replica,
@@ -93,32 +98,38 @@
 
     @property
     def leader(self) -> str:
-        """Return the leader's address, empty if nobody leads."""
-        return self.link.leader if self.desk.relay.connected else ""
+        """Return the leader's address, empty if none is known."""
+        return (
+            self.control_client.leader
+            if self.watch_server.leader_poller.is_connected
+            else ""
+        )
 
     async def on_call(self, data: bytes) -> bytes:
         """Answer an encoded call."""
-        decoded = wirecalls.CALLS.decode(data)
+        decoded = wireformats.CALLS.decode(data)
         if decoded.is_error():
             answer = outcomes.Refused(failure=decoded.error)
         elif isinstance(decoded.ok, watching.Watch):
-            answer = await self.desk.answer(decoded.ok)
+            answer = await self.watch_server.answer(decoded.ok)
         elif isinstance(decoded.ok, messages.ReplicaHello):
             answer = self.info()
         else:
             answer = outcomes.NotLeader(hint=self.leader)
-        return wirecalls.CALLS.encode(answer)
+        return wireformats.CALLS.encode(answer)
 
-    async def name_leader(self, _: watchdesk.Question) -> outcomes.NotLeader:
-        """Return who leads; never this process."""
+    async def redirect_to_leader(
+        self, _: watchserver.WatchRequest
+    ) -> outcomes.NotLeader:
+        """Return a redirect to the leader."""
         return outcomes.NotLeader(hint=self.leader)
 
     def on_peer(self, sender: str, _address: str, _data: bytes) -> None:
-        """Drop a message of a replica, which takes this for another one."""
+        """Drop a Raft message; the sender takes this process for a replica."""
         LOG.info("peer message dropped", sender=sender)
 
     def info(self) -> messages.ReplicaInfo:
-        """Return that this is no replica."""
+        """Describe this process; its role shows that it is no replica."""
         return messages.ReplicaInfo(
             replica=replicas.Replica(
                 name=self.settings.replica,
@@ -134,7 +145,7 @@
         )
 
     def dump(self) -> bytes:
-        """Return the state of the process for people."""
+        """Return the state of the process as JSON for operators."""
         return dumps.to_json(
             {
                 "settings": self.settings,
@@ -143,16 +154,16 @@
             }
         )
 
-    def learn(self, addresses: tuple[str, ...]) -> None:
-        """Take further addresses of replicas."""
-        self.link.learn(addresses)
+    def add_addresses(self, addresses: tuple[str, ...]) -> None:
+        """Add addresses of replicas that are not known yet."""
+        self.control_client.add_addresses(addresses)
 
     async def stop(self) -> None:
-        """Close everything."""
-        self.desk.relay.stop()
+        """Stop polling and close all connections and listeners."""
+        self.watch_server.leader_poller.stop()
         if self.http_server is not None:
             self.http_server.stop()
         if self.grpc_server is not None:
             await self.grpc_server.stop(grace=0.5)
-        await self.link.close()
+        await self.control_client.close()
         LOG.info("stopped", replica=self.settings.replica)
--- a/src/_coltsfootroad/shell/controlserver.py
+++ b/src/_coltsfootroad/shell/controlserver.py
@@ -1,4 +1,4 @@
-"""Runs a replica on the loop: gRPC, timers, operators' HTTP."""
+"""Runs a replica on the event loop: gRPC, timers, HTTP for operators."""
 
 import asyncio
 import random
@@ -19,32 +19,41 @@
 from _coltsfootroad.shell import controlrelay
 from _coltsfootroad.shell import disk as disk_lib
 from _coltsfootroad.shell import dumps
+from _coltsfootroad.shell import leaderpoller
 from _coltsfootroad.shell import links
-from _coltsfootroad.shell import loanlog
 from _coltsfootroad.shell import logs
 from _coltsfootroad.shell import metrics as metrics_lib
-from _coltsfootroad.shell import operators
+from _coltsfootroad.shell import operatorapi
 from _coltsfootroad.shell import quarantineapi
-from _coltsfootroad.shell import quarantinelog
-from _coltsfootroad.shell import quorumlog
-from _coltsfootroad.shell import relayloop
+from _coltsfootroad.shell import quarantinelogger
+from _coltsfootroad.shell import quorumlogger
+from _coltsfootroad.shell import retryloanlogger
 from _coltsfootroad.shell import settings as settings_lib
 from _coltsfootroad.shell import traffic
-from _coltsfootroad.shell import watchdesk
+from _coltsfootroad.shell import watchserver
 from _coltsfootroad.shell import web
-from _coltsfootroad.shell import wirecalls
+from _coltsfootroad.shell import wireformats
 
 LOG = logs.logger("control")
-MIN_WAKE_S = 0.005
+MIN_TICK_DELAY_S = 0.005
 JOIN_TIMEOUT_S = 2.0
-# Longest that a stopping replica waits for another leader and for the end of
-# its vote: ten times what both take, an eighth of the usual time to stop.
-LEAVE_S = 1.0
-LEAVE_RETRY_S = 0.1
+# How long a stopping replica waits for a leadership transfer and for its
+# removal from the voters: ten times what both take, and an eighth of the usual
+# time for stopping.
+LEAVE_TIMEOUT_S = 1.0
+LEAVE_RETRY_INTERVAL_S = 0.1
 
 
 class ControlServer:
-    """One replica with its sockets and timers."""
+    """One replica with its listeners, connections and timers.
+
+    Attributes:
+        fatal_error: Set to the exception that has to end the process.
+        reported_addresses: Addresses that senders of Raft messages stated, by
+            identity.
+        watched_state: What responses to watches depend on, as of the last
+            check for changes.
+    """
 
     def __init__(
         self,
@@ -57,16 +66,16 @@
         self.metrics = metrics
         self.loop = asyncio.get_running_loop()
         self.clock = clocks.boot_time
-        self.seen = None
-        self.link = links.GrpcControlLink(settings.peers())
+        self.watched_state = None
+        self.control_client = links.GrpcControlClient(settings.peers())
         self.join_task: asyncio.Task | None = None
         self.peer_links: dict[str, links.PeerLink] = {}
-        self.learned_addresses: dict[str, str] = {}
+        self.reported_addresses: dict[str, str] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.process_planned = False
+        self.is_processing_scheduled = False
         self.grpc_server = None
         self.http_server = None
-        self.broken: asyncio.Future = self.loop.create_future()
+        self.fatal_error: asyncio.Future = self.loop.create_future()
         self.node = node_lib.ControlNode(
             replica=replicas.Replica(
                 name=settings.replica,
@@ -79,35 +88,37 @@
             rng=random.Random(),
             started_at=clocks.PROCESS_STARTED,
             membership=membership_lib.Membership(settings.required_voters),
-            mirror=mirror_lib.Mirror(relay_of(settings)),
+            mirror=mirror_lib.Mirror(make_relay(settings)),
+        )
+        self.watch_server = watchserver.WatchServer(
+            self.node.mirror, self.call_node
         )
-        self.desk = watchdesk.WatchDesk(self.node.mirror, self.call_node)
-        self.desk.relay = relayloop.RelayLoop(
+        self.watch_server.leader_poller = leaderpoller.LeaderPoller(
             self.node.mirror,
-            self.link,
-            self.leads,
-            self.desk.wake,
-            self.broken,
+            self.control_client,
+            self.is_leading,
+            self.watch_server.wake_watches,
+            self.fatal_error,
             self.node.replica_addresses,
         )
-        self.quorum_log = quorumlog.QuorumLog(self.node)
-        self.quarantine_log = quarantinelog.QuarantineLog(self.node)
-        self.loan_log = loanlog.LoanLog(self.node)
+        self.quorum_logger = quorumlogger.QuorumLogger(self.node)
+        self.quarantine_logger = quarantinelogger.QuarantineLogger(self.node)
+        self.retry_loan_logger = retryloanlogger.RetryLoanLogger(self.node)
         self.add_metrics()
 
     # --- life ------------------------------------------------------------
 
     async def start(self, listen_admin: bool = True) -> None:
-        """Open the sockets and start the timers."""
+        """Open the listeners and start timers and background tasks."""
         if listen_admin:
             self.listen_admin()
         self.grpc_server = links.make_server(self.on_call, self.on_peer)
         links.listen(self.grpc_server, self.settings.listen)
         await self.grpc_server.start()
-        self.wake()
-        self.desk.relay.start()
+        self.run_tick()
+        self.watch_server.leader_poller.start()
         if self.settings.peers():
-            self.join_task = asyncio.ensure_future(self.join())
+            self.join_task = asyncio.ensure_future(self.join_when_needed())
         LOG.info(
             "replica {} listens on {}, admin on {}",
             self.node.replica.identity,
@@ -116,28 +127,31 @@
         )
 
     def listen_admin(self) -> None:
-        """Open the operators' listener."""
+        """Open the listener for operators."""
         routes = [
-            *operators.routes(self),
+            *operatorapi.routes(self),
             *quarantineapi.routes(self),
             *web.admin_routes(
                 self.settings.admin_token, self.dump, self.metrics
             ),
         ]
-        app = operators.application(routes)
+        app = operatorapi.make_application(routes)
         self.http_server = web.listen(
-            app, self.settings.admin_listen, operators.MAX_BODY_BYTES
+            app, self.settings.admin_listen, operatorapi.MAX_BODY_BYTES
         )
 
     async def stop(self) -> None:
-        """Close everything; whatever was acknowledged is on the disk."""
+        """Leave the voters, then close all connections, listeners and files.
+
+        Acknowledged data is on the disk already.
+        """
         if self.join_task is not None:
             self.join_task.cancel()
-        self.desk.relay.stop()
+        self.watch_server.leader_poller.stop()
         await self.leave()
         if self.timer is not None:
             self.timer.cancel()
-        await self.link.close()
+        await self.control_client.close()
         if self.http_server is not None:
             self.http_server.stop()
         if self.grpc_server is not None:
@@ -148,136 +162,146 @@
         LOG.info("replica {} stopped", self.node.replica.identity)
 
     async def leave(self) -> None:
-        """Hand over, and give up the vote where the set is better without.
+        """Transfer leadership, and ask the leader to be removed as a voter.
 
-        The set is whole when the process ends, not a second later.
+        The leader removes it if the replica set is better off without it. The
+        set then has its fault tolerance as soon as the process ends, not only
+        after the replica has been found unresponsive.
         """
         node = self.node
         if not node.raft.others():
             return
-        end = self.loop.time() + LEAVE_S
-        self.guard(node.hand_over, self.clock())
-        self.note_changes()
-        self.link.learn(node.replica_addresses())
+        end = self.loop.time() + LEAVE_TIMEOUT_S
+        self.run_critical(node.hand_over, self.clock())
+        self.check_changes()
+        self.control_client.add_addresses(node.replica_addresses())
         message = messages.LeaveReplica(replica=node.replica)
         answer = None
         while self.loop.time() < end:
-            left_s = end - self.loop.time()
-            answer = await self.link.call(message, left_s)
+            remaining_s = end - self.loop.time()
+            answer = await self.control_client.call(message, remaining_s)
             if answer.is_error() or isinstance(answer.ok, outcomes.Done):
                 break
-            # Another change of the set is under way; each takes two syncs.
-            await asyncio.sleep(LEAVE_RETRY_S)
+            # Another change of the replica set is in progress; each takes two
+            # syncs to disk.
+            await asyncio.sleep(LEAVE_RETRY_INTERVAL_S)
         LOG.info("leaves", replica=node.replica.identity, got=str(answer))
 
     def bootstrap(self) -> bool:
-        """Become the only voter of a new system."""
+        """Become the only voter of a new system; return whether it did."""
         return self.node.bootstrap(self.clock())
 
-    async def join(self) -> None:
-        """Ask the leader for a vote whenever this replica has none."""
+    async def join_when_needed(self) -> None:
+        """Request to join the voters whenever this replica is not one."""
         while True:
             if self.node.watch.has_no_vote(self.clock()):
-                await self.ask_for_vote()
+                await self.request_to_join()
             await asyncio.sleep(membership_lib.JOIN_EVERY_S)
 
-    async def ask_for_vote(self) -> None:
-        """Ask the leader for a vote, or begin the system as its first."""
+    async def request_to_join(self) -> None:
+        """Ask the leader for membership, or bootstrap as the first replica."""
         raft = self.node.raft
-        if not raft.replica_set.voters and await self.stands_first():
-            LOG.info("begins the system", replica=raft.identity)
+        if not raft.replica_set.voters and await self.can_bootstrap():
+            LOG.info("bootstrapping a new system", replica=raft.identity)
             self.bootstrap()
             return
-        self.link.learn(self.node.replica_addresses())
-        answer = await self.link.call(
+        self.control_client.add_addresses(self.node.replica_addresses())
+        answer = await self.control_client.call(
             messages.JoinReplica(replica=self.node.replica), JOIN_TIMEOUT_S
         )
         LOG.info("asked for a vote", replica=raft.identity, got=str(answer))
 
-    async def stands_first(self) -> bool:
-        """Return whether the seeds before this one cannot begin the system."""
+    async def can_bootstrap(self) -> bool:
+        """Return whether this is the first seed that can bootstrap the system.
+
+        All seeds listed before it have to respond as relays, which have no
+        disk and so cannot.
+        """
         before = self.settings.seeds_before()
         if before is None:
             return False
         for address in before:
-            found = await self.link.call_one(
+            answer = await self.control_client.call_replica(
                 address, messages.ReplicaHello(), JOIN_TIMEOUT_S
             )
-            role = found.map(role_of).default_value("")
+            role = answer.map(reported_role).default_value("")
             if role != controlrelay.ROLE:
                 return False
         return True
 
-    def guard(self, function, *arguments) -> None:
-        """Run a step; a fault ends the process.
+    def run_critical(self, function, *arguments) -> None:
+        """Run a step of the node; an exception in it ends the process.
 
-        Half of a step leaves a state that the disk does not hold, and a timer
-        that is not planned again.
+        An incomplete step leaves a state in memory that the disk does not
+        hold, and a timer that is not scheduled again.
         """
         try:
             function(*arguments)
         except Exception as error:  # noqa: BLE001
             LOG.critical("stopping on a fault", fault=traceback.format_exc())
-            if not self.broken.done():
-                self.broken.set_exception(error)
+            if not self.fatal_error.done():
+                self.fatal_error.set_exception(error)
 
     # --- time ------------------------------------------------------------
 
-    def wake(self) -> None:
-        """Tick and plan the next tick."""
+    def run_tick(self) -> None:
+        """Run the node's timers and schedule the next tick."""
         self.timer = None
-        self.guard(self.node.tick, self.clock())
-        self.note_changes()
-        self.quorum_log.note(self.clock())
-        traffic.PROCESS.log(self.clock())
-        self.plan_wake()
-
-    def plan_wake(self) -> None:
-        """Plan the next tick, sooner than before where that is due now.
-
-        A vote makes a leader, whose heartbeats are due long before the end
-        of the election that it had planned for; the others would begin
-        another one meanwhile.
+        self.run_critical(self.node.tick, self.clock())
+        self.check_changes()
+        self.quorum_logger.log_changes(self.clock())
+        traffic.PROCESS.log_if_due(self.clock())
+        self.schedule_tick()
+
+    def schedule_tick(self) -> None:
+        """Schedule the next tick, ahead of the scheduled one if necessary.
+
+        A new leader's heartbeats are due long before the election time-out for
+        which its tick was scheduled; without them, the other replicas would
+        start another election.
         """
-        wait_s = max(MIN_WAKE_S, self.node.next_wake() - self.clock())
+        wait_s = max(MIN_TICK_DELAY_S, self.node.next_wake() - self.clock())
         due = self.loop.time() + wait_s
         if self.timer is not None:
             if self.timer.when() <= due:
                 return
             self.timer.cancel()
-        self.timer = self.loop.call_at(due, self.wake)
+        self.timer = self.loop.call_at(due, self.run_tick)
 
-    def plan_process(self) -> None:
-        """Process once after this turn of the loop: one sync for many."""
-        if not self.process_planned:
-            self.process_planned = True
+    def schedule_processing(self) -> None:
+        """Schedule one `process` for all calls of this loop iteration.
+
+        They share one sync to disk.
+        """
+        if not self.is_processing_scheduled:
+            self.is_processing_scheduled = True
             self.loop.call_soon(self.process)
 
     def process(self) -> None:
-        """Carry out what the calls of this turn led to."""
-        self.process_planned = False
-        self.guard(self.node.process, self.clock())
-        self.note_changes()
-        self.plan_wake()
-
-    def note_changes(self) -> None:
-        """Wake the watches whose answer may have changed."""
-        self.quarantine_log.note()
+        """Process the commands of the calls of one loop iteration."""
+        self.is_processing_scheduled = False
+        self.run_critical(self.node.process, self.clock())
+        self.check_changes()
+        self.schedule_tick()
+
+    def check_changes(self) -> None:
+        """Check watches again if what their responses depend on changed."""
+        self.quarantine_logger.log_changes()
         hub = self.node.hub
-        seen = (
+        watched_state = (
             hub and hub.epoch,
             hub and hub.last_mark,
             self.node.state.routes.version,
         )
-        if seen != self.seen:
-            self.log_beliefs(seen)
-            self.seen = seen
-            self.desk.wake()
-
-    def log_beliefs(self, seen: tuple) -> None:
-        """Log a change of leadership or of the version in force."""
-        before = self.seen or (None, None, None)
-        epoch, _, version = seen
+        if watched_state != self.watched_state:
+            self.log_state_change(watched_state)
+            self.watched_state = watched_state
+            self.watch_server.wake_watches()
+
+    def log_state_change(self, watched_state: tuple) -> None:
+        """Log a change of leadership or of the route version in force."""
+        before = self.watched_state or (None, None, None)
+        epoch, _, version = watched_state
         raft = self.node.raft
         if epoch != before[0]:
             LOG.info(
@@ -297,10 +321,10 @@
     # --- messages --------------------------------------------------------
 
     def send(self, identity: str, message) -> None:
-        """Send a message to another replica."""
+        """Send a Raft message to another replica, if its address is known."""
         replica = self.node.raft.replica_set.everyone().get(identity)
-        learned = self.learned_addresses.get(identity, "")
-        address = replica.address if replica else learned
+        reported = self.reported_addresses.get(identity, "")
+        address = replica.address if replica else reported
         if not address:
             return
         if address not in self.peer_links:
@@ -310,59 +334,59 @@
         self.peer_links[address].send(message)
 
     def on_peer(self, sender: str, address: str, data: bytes) -> None:
-        """Take a message of another replica."""
-        if self.learned_addresses.get(sender) != address:
-            self.learned_addresses[sender] = address
-            # With an empty disk and seeds that are all gone, this is how a
-            # replica finds the leader, which still writes to its address.
-            self.link.learn((address,) if address else ())
+        """Process a Raft message of another replica."""
+        if self.reported_addresses.get(sender) != address:
+            self.reported_addresses[sender] = address
+            # With an empty disk and no reachable seed, a replica finds the
+            # leader by this: the leader still sends messages to its address.
+            self.control_client.add_addresses((address,) if address else ())
         if address in self.peer_links:
-            self.peer_links[address].note_heard()
-        decoded = wirecalls.PEERS.decode(data)
+            self.peer_links[address].record_contact()
+        decoded = wireformats.PEERS.decode(data)
         if decoded.is_error():
             LOG.warning("peer message dropped: {}", decoded.error.message)
             return
-        self.guard(self.node.on_peer, decoded.ok, self.clock())
-        self.plan_wake()
+        self.run_critical(self.node.on_peer, decoded.ok, self.clock())
+        self.schedule_tick()
 
     async def on_call(self, data: bytes) -> bytes:
         """Answer an encoded call."""
-        decoded = wirecalls.CALLS.decode(data)
+        decoded = wireformats.CALLS.decode(data)
         if decoded.is_error():
             answer = outcomes.Refused(failure=decoded.error)
         else:
             answer = await self.call(decoded.ok)
-        return wirecalls.CALLS.encode(answer)
+        return wireformats.CALLS.encode(answer)
 
     async def call(self, message: object) -> object:
-        """Answer a call; a watch is held back while there is no news."""
+        """Answer a call; a watch is held until there are changes."""
         if isinstance(message, watching.Watch | watching.RelayWatch):
-            return await self.desk.answer(message)
+            return await self.watch_server.answer(message)
         answer = await self.call_node(message)
         if isinstance(message, retrylending.BorrowRetries):
-            self.loan_log.note(message, answer, self.clock())
+            self.retry_loan_logger.log_answer(message, answer, self.clock())
         return answer
 
-    def leads(self) -> bool:
+    def is_leading(self) -> bool:
         """Return whether this replica answers as the leader."""
         return self.node.hub is not None
 
     async def call_node(self, message: object) -> object:
-        """Answer a call at once, or when its command is applied."""
+        """Return the node's answer, once the call's command is applied."""
         future = self.loop.create_future()
 
         def reply(answer: object) -> None:
             if not future.done():
                 future.set_result(answer)
 
-        self.guard(self.node.call, message, self.clock(), reply)
-        self.plan_process()
+        self.run_critical(self.node.call, message, self.clock(), reply)
+        self.schedule_processing()
         return await future
 
-    # --- facts -----------------------------------------------------------
+    # --- dump and metrics ------------------------------------------------
 
     def dump(self) -> bytes:
-        """Return the state of the process for people."""
+        """Return the state of the process as JSON for operators."""
         raft = self.node.raft
         return dumps.to_json(
             {
@@ -383,7 +407,7 @@
         )
 
     def hub_dump(self) -> dict | None:
-        """Return the soft state, if this replica leads."""
+        """Return the leader's in-memory state, None if this is no leader."""
         hub = self.node.hub
         if hub is None:
             return None
@@ -406,7 +430,7 @@
         gauge(
             "colts_control_retries_lent",
             "Retries lent to gateways, of all services",
-            self.loan_log.outstanding,
+            self.retry_loan_logger.outstanding,
         )
         gauge(
             "colts_control_failures_tolerated",
@@ -433,17 +457,17 @@
         traffic.PROCESS.add_metrics(self.metrics)
 
     def failures_tolerated(self) -> float | None:
-        """Return the fault tolerance, None where only a leader knows it."""
+        """Return how many voters may still fail; None if not the leader."""
         return self.node.watch.view(self.clock()).failures_tolerated
 
 
-def role_of(answer: object) -> str:
-    """Return the role that a process names, empty if it names none."""
+def reported_role(answer: object) -> str:
+    """Return the role in a process's answer, empty if there is none."""
     return getattr(answer, "role", "")
 
 
-def relay_of(settings: settings_lib.ControlSettings) -> watching.Relay:
-    """Return what gateways are told of this process."""
+def make_relay(settings: settings_lib.ControlSettings) -> watching.Relay:
+    """Describe this process to gateways as a relay."""
     return watching.Relay(
         name=settings.replica,
         incarnation=time.time_ns(),
@@ -452,32 +476,32 @@
     )
 
 
-class LeaderLink(links.ControlLink):
-    """Calls the replica in this process, or the leader it knows of."""
+class ForwardingControlClient(links.ControlClient):
+    """Calls the replica in this process, else the leader that it names."""
 
     def __init__(self, server: ControlServer):
         self.server = server
 
     async def call(self, message, timeout_s):
-        """Return the leader's answer."""
+        """Return the leader's response."""
         answer = await self.server.call(message)
         if not isinstance(answer, outcomes.NotLeader):
             return Ok(answer)
-        link = self.server.link
-        link.learn(self.server.node.replica_addresses())
+        client = self.server.control_client
+        client.add_addresses(self.server.node.replica_addresses())
         if answer.hint:
-            link.leader = answer.hint
-        return await link.call(message, timeout_s)
+            client.leader = answer.hint
+        return await client.call(message, timeout_s)
 
 
-class LocalLink(links.ControlLink):
+class LocalControlClient(links.ControlClient):
     """Calls a replica in the same process, for `colts-standalone`."""
 
     def __init__(self, server: ControlServer):
         self.server = server
 
     async def call(self, message, timeout_s):
-        """Return the replica's answer."""
+        """Return the replica's response."""
         answer = await asyncio.wait_for(self.server.call(message), timeout_s)
         if isinstance(answer, outcomes.NotLeader):
             return links.unreachable("the replica does not lead yet")
--- a/src/_coltsfootroad/shell/entryserver.py
+++ b/src/_coltsfootroad/shell/entryserver.py
@@ -17,13 +17,13 @@
 from _coltsfootroad.core import request as request_lib
 from _coltsfootroad.core import servicekind
 from _coltsfootroad.shell import callers
+from _coltsfootroad.shell import dispatchnotes
 from _coltsfootroad.shell import dumps
 from _coltsfootroad.shell import endpointclient
 from _coltsfootroad.shell import links
 from _coltsfootroad.shell import logs
 from _coltsfootroad.shell import metrics as metrics_lib
-from _coltsfootroad.shell import notes as notes_lib
-from _coltsfootroad.shell import operators
+from _coltsfootroad.shell import operatorapi
 from _coltsfootroad.shell import settings as settings_lib
 from _coltsfootroad.shell import web
 
@@ -52,7 +52,7 @@
         self,
         settings: settings_lib.EntrySettings,
         incarnation: int,
-        control: links.ControlLink,
+        control: links.ControlClient,
         client: endpointclient.EndpointClient,
         metrics: metrics_lib.Metrics,
     ):
@@ -69,12 +69,12 @@
         self.unsettled = 0
         self.sync_now = asyncio.Event()
         self.timer: asyncio.TimerHandle | None = None
-        self.notes = notes_lib.NoteExchange(
+        self.notes = dispatchnotes.DispatchNoteExchange(
             settings.peer_listen, self.core.owner, self.take_note
         )
         self.http_server = None
         self.admin_server = None
-        self.broken: asyncio.Future = self.loop.create_future()
+        self.fatal_error: asyncio.Future = self.loop.create_future()
         self.asked_to_stop: asyncio.Future = self.loop.create_future()
         self.ttft = metrics.histogram(
             "colts_entry_ttft_seconds", "Time to first token"
@@ -96,7 +96,7 @@
 
     async def start(self, listen_admin: bool = True) -> None:
         """Open the sockets and start heartbeats and timers."""
-        app = operators.application(callers.routes(self))
+        app = operatorapi.make_application(callers.routes(self))
         self.http_server = web.listen(app, self.settings.listen, MAX_BODY_BYTES)
         if listen_admin:
             routes = web.admin_routes(
@@ -105,7 +105,7 @@
             parts = {"token": self.settings.admin_token, "server": self}
             routes.append((r"/admin/drain", DrainHandler, parts))
             self.admin_server = web.listen(
-                operators.application(routes),
+                operatorapi.make_application(routes),
                 self.settings.admin_listen,
                 MAX_BODY_BYTES,
             )
@@ -155,8 +155,8 @@
         if task.cancelled() or task.exception() is None:
             return
         LOG.critical("stopping on a fault: {!r}", task.exception())
-        if not self.broken.done():
-            self.broken.set_exception(task.exception())
+        if not self.fatal_error.done():
+            self.fatal_error.set_exception(task.exception())
 
     # --- core ------------------------------------------------------------
 
@@ -166,8 +166,8 @@
             wanted = method(*arguments)
         except errors.BrokenInvariantError as error:
             LOG.critical("stopping on a broken invariant: {}", error)
-            if not self.broken.done():
-                self.broken.set_exception(error)
+            if not self.fatal_error.done():
+                self.fatal_error.set_exception(error)
             return
         for action in wanted:
             self.carry_out(action)
@@ -196,7 +196,7 @@
             case actions.Dispatch():
                 self.dispatch(action)
             case actions.DispatchNote():
-                self.notes.share(action)
+                self.notes.send_soon(action)
             case actions.Emit() | actions.Finish() | actions.Fail():
                 self.to_caller(action)
             case actions.Cancel():
@@ -391,7 +391,7 @@
         self.run(
             self.core.on_sync, request, answer.ok, asked_at, self.loop.time()
         )
-        self.notes.follow(self.core.freshness.members)
+        self.notes.update_peers(self.core.freshness.members)
         if self.core.freshness.version != version:
             LOG.info("configuration {} in force", self.core.freshness.version)
 
--- a/src/_coltsfootroad/shell/links.py
+++ b/src/_coltsfootroad/shell/links.py
@@ -1,4 +1,4 @@
-"""Calls between our processes over gRPC, with its own cleverness off."""
+"""Connects processes over gRPC: calls to the leader and peer streams."""
 
 import abc
 import asyncio
@@ -19,45 +19,50 @@
 from _coltsfootroad.shell import listening
 from _coltsfootroad.shell import logs
 from _coltsfootroad.shell import wire
-from _coltsfootroad.shell import wirecalls
+from _coltsfootroad.shell import wireformats
 
 LOG = logs.logger("link")
-# A replica with an empty log knows nobody; the stream says who writes.
+# Metadata of a stream. A replica with an empty log knows no other replica, so
+# the sender states its identity and address.
 SENDER_KEY = "colts-sender"
 SENDER_ADDRESS_KEY = "colts-sender-address"
-MAX_QUEUED = 512
-# Peers may come and go in storms.
-LINK_LINES = logs.LineLimit(40, 10.0)
-# Pause before a broken stream is opened again, unless the other side is heard.
-RECONNECT_S = 0.3
-# The receiver acknowledges a stream at most this often, to save bytes.
-ACK_EVERY_S = 0.25
+MAX_QUEUED_MESSAGES = 512
+# Many peers may connect and disconnect at once.
+LINK_LOG_LIMIT = logs.LineLimit(40, 10.0)
+# Delay before a stream that ended is reopened; a message from the peer ends
+# the delay.
+RECONNECT_DELAY_S = 0.3
+# Minimum interval between acknowledgements of a stream, to save bandwidth.
+ACK_INTERVAL_S = 0.25
 ACK = b""
-# A stream on which nothing was acknowledged for this long is replaced.
-SILENT_S = 1.5
-SILENT = "silent"
-CLOSED = "closed"
-CLOSE_S = 1.0
+# A stream whose messages stay unacknowledged for this long is replaced.
+ACK_TIMEOUT_S = 1.5
+REASON_SILENT = "silent"
+REASON_CLOSED = "closed"
+CLOSE_TIMEOUT_S = 1.0
 NEVER = float("-inf")
 OpenChannel = Callable[[str], grpc.aio.Channel]
 BIND_FAILED = "in use, or not an address of this VM"
 
 
-class ControlLink(abc.ABC):
-    """The way from an entry or operator to the leader."""
+class ControlClient(abc.ABC):
+    """Calls the leader of the control plane."""
 
     @abc.abstractmethod
     async def call(
         self, message: object, timeout_s: float
     ) -> Result[object, errors.Failure]:
-        """Return the leader's answer; an error proves nothing."""
+        """Return the leader's response.
+
+        After an error, the call may or may not have been executed.
+        """
 
     async def close(self) -> None:  # noqa: B027
-        """Close what is open, if anything is."""
+        """Close open connections, if there are any."""
 
 
 def unreachable(reason: str) -> Result[object, errors.Failure]:
-    """Return the failure of a call without an answer."""
+    """Return the failure of a call that got no response from a leader."""
     return Error(
         errors.Failure(
             errors.ErrorCode.UNAVAILABLE, reason, errors.Ran.UNKNOWN, 1.0
@@ -65,31 +70,32 @@
     )
 
 
-class GrpcControlLink(ControlLink):
+class GrpcControlClient(ControlClient):
     """Finds the leader among the replicas and calls it."""
 
     def __init__(self, addresses: tuple[str, ...]):
         self.addresses = list(addresses)
-        self.channels = channels_lib.Channels(wirecalls.CALLS)
-        # Processes that start at once begin with different replicas.
-        self.place = random.randrange(len(addresses)) if addresses else 0
+        self.channels = channels_lib.ChannelPool(wireformats.CALLS)
+        # Random, so that processes that start at the same time do not all call
+        # the same replica first.
+        self.next_index = random.randrange(len(addresses)) if addresses else 0
         self.leader = ""
 
-    def learn(self, addresses: tuple[str, ...]) -> None:
-        """Add replicas that are not among the known addresses yet."""
+    def add_addresses(self, addresses: tuple[str, ...]) -> None:
+        """Add addresses of replicas that are not known yet."""
         for address in addresses:
             if address not in self.addresses:
                 self.addresses.append(address)
 
     def next_address(self) -> str:
-        """Return the replica to ask: the leader, else one after another."""
+        """Return the leader's address, else that of the next replica."""
         if self.leader:
             return self.leader
-        self.place += 1
-        return self.addresses[self.place % len(self.addresses)]
+        self.next_index += 1
+        return self.addresses[self.next_index % len(self.addresses)]
 
     async def call(self, message, timeout_s):
-        """Call until a leader answers or the time is over."""
+        """Call replicas until a leader responds or the time-out expires."""
         loop = asyncio.get_running_loop()
         end = loop.time() + timeout_s
         if not self.addresses:
@@ -97,8 +103,8 @@
         reason = "no replica answered in time"
         while loop.time() < end:
             address = self.next_address()
-            left_s = end - loop.time()
-            answer = await self.call_one(address, message, left_s)
+            remaining_s = end - loop.time()
+            answer = await self.call_replica(address, message, remaining_s)
             if answer.is_error():
                 reason = f"replica {address}: {answer.error}"
                 self.leader = ""
@@ -112,16 +118,16 @@
                 await asyncio.sleep(min(0.05, max(0.0, end - loop.time())))
         return unreachable(reason)
 
-    def usable_hint(self, hint: str, asked: str) -> str:
-        """Return a hint that leads elsewhere."""
-        return hint if hint != asked else ""
+    def usable_hint(self, hint: str, called: str) -> str:
+        """Return the hint, empty if it names the replica just called."""
+        return hint if hint != called else ""
 
-    async def call_one(
-        self, address: str, message: object, left_s: float
+    async def call_replica(
+        self, address: str, message: object, remaining_s: float
     ) -> Result[object, str]:
-        """Ask one replica, for a part of the time that is left."""
-        share_s = max(0.05, min(left_s, max(0.5, left_s / 2)))
-        return await self.channels.call(address, message, share_s)
+        """Call one replica, with a part of the remaining time as time-out."""
+        call_timeout_s = max(0.05, min(remaining_s, max(0.5, remaining_s / 2)))
+        return await self.channels.call(address, message, call_timeout_s)
 
     async def close(self):
         """Close all channels."""
@@ -129,10 +135,11 @@
 
 
 class PeerLink:
-    """Sends messages to one process over an open stream; may lose them.
+    """Sends messages to one process over a stream; messages may be lost.
 
-    The other process acknowledges over the same stream. A stream that carries
-    messages and returns nothing is replaced, whatever gRPC believes of it.
+    The other process acknowledges messages over the same stream. A stream
+    whose messages stay unacknowledged is replaced, whatever state gRPC
+    reports for it.
     """
 
     def __init__(
@@ -140,7 +147,7 @@
         address: str,
         sender: str,
         sender_address: str,
-        encoder: wire.Wire = wirecalls.PEERS,
+        encoder: wire.WireFormat = wireformats.PEERS,
         open_channel: OpenChannel = channels_lib.open_channel,
     ):
         self.address = address
@@ -149,130 +156,134 @@
             (SENDER_KEY, sender),
             (SENDER_ADDRESS_KEY, sender_address),
         )
-        self.queue: asyncio.Queue = asyncio.Queue(MAX_QUEUED)
-        self.heard = asyncio.Event()
+        self.queue: asyncio.Queue = asyncio.Queue(MAX_QUEUED_MESSAGES)
+        self.peer_contact = asyncio.Event()
         self.open_channel = open_channel
         self.channel = open_channel(address)
         self.closing: set[asyncio.Task] = set()
         # Why the last stream ended, empty while one is open.
-        self.lost_reason = ""
+        self.end_reason = ""
         self.acked_at = NEVER
-        # When the oldest message whose acknowledgement is due was queued.
+        # When the oldest message that still needs an acknowledgement was
+        # queued.
         self.unacked_since: float | None = None
         self.task = asyncio.ensure_future(self.run())
 
-    def note_heard(self) -> None:
-        """Note that the other process runs: it has just written to us."""
-        self.heard.set()
+    def record_contact(self) -> None:
+        """Record that the other process runs: a message of it has arrived."""
+        self.peer_contact.set()
 
     def send(self, message: object) -> None:
-        """Queue a message; the oldest goes when the other side is slow."""
+        """Queue a message; a full queue drops its oldest one."""
         if self.queue.full():
             self.queue.get_nowait()
         self.queue.put_nowait(message)
         now = clocks.boot_time()
-        # So soon after an acknowledgement the peer may leave one out.
-        is_due = now >= self.acked_at + ACK_EVERY_S
-        if self.unacked_since is None and is_due:
+        # The peer skips acknowledgements within this time after the last one.
+        is_ack_due = now >= self.acked_at + ACK_INTERVAL_S
+        if self.unacked_since is None and is_ack_due:
             self.unacked_since = now
 
     async def run(self) -> None:
-        """Keep a stream open and write what is queued."""
+        """Keep a stream open and write queued messages to it."""
         while True:
-            reason = await self.use_stream()
-            if reason != self.lost_reason:
+            reason = await self.run_stream()
+            if reason != self.end_reason:
                 self.log("link to peer lost", reason=reason)
-            self.lost_reason = reason
+            self.end_reason = reason
             while not self.queue.empty():
                 self.queue.get_nowait()
             await self.pause()
-            if self.heard.is_set() or reason in (SILENT, CLOSED):
+            if self.peer_contact.is_set() or reason in (
+                REASON_SILENT,
+                REASON_CLOSED,
+            ):
                 self.renew_channel()
 
     async def pause(self) -> None:
-        """Wait a little before the next stream, unless the peer is heard."""
+        """Wait before the next stream; a message from the peer ends it."""
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.heard.wait(), RECONNECT_S)
+            await asyncio.wait_for(self.peer_contact.wait(), RECONNECT_DELAY_S)
 
     def renew_channel(self) -> None:
-        """Use a new channel, which has no failed attempt to wait for."""
+        """Open a new channel, which has no backoff of failed attempts."""
         closing = asyncio.ensure_future(self.channel.close())
         self.closing.add(closing)
         closing.add_done_callback(self.closing.discard)
         self.channel = self.open_channel(self.address)
 
-    async def use_stream(self) -> str:
-        """Use one stream until it ends or is silent; return which."""
-        self.heard.clear()
+    async def run_stream(self) -> str:
+        """Use one stream until it ends or times out; return the reason."""
+        self.peer_contact.clear()
         self.acked_at = NEVER
         self.unacked_since = None
         try:
             method = self.channel.stream_stream(channels_lib.PEER)
             stream = method(metadata=self.metadata)
         except grpc.aio.UsageError:
-            return CLOSED
+            return REASON_CLOSED
         tasks = {
             asyncio.ensure_future(self.write_messages(stream)),
             asyncio.ensure_future(self.read_acks(stream)),
         }
         try:
-            while not self.is_silent():
+            while not self.has_ack_timed_out():
                 done, _ = await asyncio.wait(
                     tasks,
-                    timeout=self.silence_left_s(),
+                    timeout=self.ack_time_left_s(),
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 if done:
-                    return end_of(done.pop())
-            return SILENT
+                    return task_end_reason(done.pop())
+            return REASON_SILENT
         finally:
             for task in tasks:
                 task.cancel()
-                task.add_done_callback(end_of)
+                task.add_done_callback(task_end_reason)
             stream.cancel()
 
-    def silence_left_s(self) -> float:
-        """Return the seconds after which the stream may count as silent."""
+    def ack_time_left_s(self) -> float:
+        """Return the seconds until the stream may time out."""
         since = self.unacked_since
         if since is None:
-            return SILENT_S
-        return max(0.0, since + SILENT_S - clocks.boot_time())
+            return ACK_TIMEOUT_S
+        return max(0.0, since + ACK_TIMEOUT_S - clocks.boot_time())
 
-    def is_silent(self) -> bool:
-        """Return whether a message has waited too long for an answer."""
-        return self.unacked_since is not None and not self.silence_left_s()
+    def has_ack_timed_out(self) -> bool:
+        """Return whether an acknowledgement is overdue."""
+        return self.unacked_since is not None and not self.ack_time_left_s()
 
     async def write_messages(self, stream) -> None:
-        """Write what is queued."""
+        """Write queued messages to a stream."""
         await stream.wait_for_connection()
-        self.lost_reason = ""
+        self.end_reason = ""
         self.log("link to peer opened")
         while True:
             message = await self.queue.get()
             await stream.write(self.encoder.encode(message))
 
     async def read_acks(self, stream) -> None:
-        """Note acknowledgements until the stream ends."""
+        """Record acknowledgements until the stream ends."""
         while await stream.read() is not grpc.aio.EOF:
             self.acked_at = clocks.boot_time()
             self.unacked_since = None
 
     def log(self, event: str, **fields: str) -> None:
-        """Log a change of this link."""
-        if LINK_LINES.allows(clocks.boot_time()):
+        """Log a change of the connection, within `LINK_LOG_LIMIT`."""
+        if LINK_LOG_LIMIT.allows(clocks.boot_time()):
             LOG.info(event, address=self.address, **fields)
 
     async def close(self) -> None:
-        """Stop sending."""
+        """Stop sending and close the channel."""
         self.task.cancel()
         for closing in self.closing:
             closing.cancel()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.channel.close(), CLOSE_S)
+            await asyncio.wait_for(self.channel.close(), CLOSE_TIMEOUT_S)
 
 
-def end_of(task: asyncio.Task) -> str:
-    """Return why a task of a stream ended."""
+def task_end_reason(task: asyncio.Task) -> str:
+    """Return why a task of a stream ended, as one word."""
     if task.cancelled():
         return "cancelled"
     error = task.exception()
@@ -283,8 +294,8 @@
     return type(error).__name__
 
 
-async def acknowledged(requests, on_peer, context):
-    """Pass on the messages of a stream, and yield acknowledgements."""
+async def acknowledge_messages(requests, on_peer, context):
+    """Forward the messages of a stream and yield acknowledgements."""
     metadata = dict(context.invocation_metadata() or ())
     sender = metadata.get(SENDER_KEY, "")
     address = metadata.get(SENDER_ADDRESS_KEY, "")
@@ -292,23 +303,25 @@
     async for request in requests:
         on_peer(sender, address, request)
         now = clocks.boot_time()
-        if now >= acked_at + ACK_EVERY_S:
+        if now >= acked_at + ACK_INTERVAL_S:
             acked_at = now
             yield ACK
 
 
 def make_server(on_call, on_peer) -> grpc.aio.Server:
-    """Return a server of both methods.
+    """Return a server of the methods `Call` and `Peer`.
 
-    `on_call` takes and returns bytes and is awaited; `on_peer` takes the
-    identity and address of the sender and the bytes of one message.
+    Args:
+        on_call: Coroutine function; takes and returns encoded messages.
+        on_peer: Takes the sender's identity and address, and the bytes of one
+            message.
     """
 
     async def call(request: bytes, _) -> bytes:
         return await on_call(request)
 
     async def peer(requests, context):
-        async for ack in acknowledged(requests, on_peer, context):
+        async for ack in acknowledge_messages(requests, on_peer, context):
             yield ack
 
     server = grpc.aio.server(options=channels_lib.OPTIONS)
@@ -323,11 +336,11 @@
 
 
 def listen(server: grpc.aio.Server, address: str) -> None:
-    """Let a server listen.
+    """Bind a server to an address.
 
     Raises:
-        ListenError: The address cannot be bound. gRPC writes the reason of the
-            system to standard error.
+        ListenError: The address cannot be bound. gRPC writes the error of the
+            operating system to standard error.
     """
     try:
         server.add_insecure_port(address)
--- a/src/_coltsfootroad/shell/listening.py
+++ b/src/_coltsfootroad/shell/listening.py
@@ -1,19 +1,19 @@
-"""Errors of listening, with the address that operators have to look at."""
+"""Errors of listening on an address, which name that address."""
 
 from collections.abc import Iterator
 import contextlib
 
 
 class ListenError(Exception):
-    """An address cannot be listened at: in use, or not this VM's."""
+    """An address cannot be bound: it is in use, or not one of this vm."""
 
     def __init__(self, address: str, reason: str):
         super().__init__(f"cannot listen at {address}: {reason}")
 
 
 @contextlib.contextmanager
-def at(address: str) -> Iterator[None]:
-    """Raise `ListenError` for an `OSError` of listening at an address."""
+def errors_at(address: str) -> Iterator[None]:
+    """Convert an `OSError` of the block into a `ListenError` of the address."""
     try:
         yield
     except OSError as error:
--- a/src/_coltsfootroad/shell/operators.py
+++ b/src/_coltsfootroad/shell/operatorapi.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP interface of the control state."""
+"""HTTP API for operators: configuration, status, replicas, snapshots."""
 
 import json
 
@@ -11,16 +11,18 @@
 from _coltsfootroad.core import errors
 from _coltsfootroad.shell import web
 
-MAX_PATCH_ID = 200
+MAX_PATCH_ID_CHARS = 200
 MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
-def application(routes: list[tuple]) -> tornado.web.Application:
-    """Return an application whose unknown paths get our errors."""
-    return tornado.web.Application(routes, default_handler_class=MissingHandler)
+def make_application(routes: list[tuple]) -> tornado.web.Application:
+    """Return an application that answers unknown paths with a `Failure`."""
+    return tornado.web.Application(
+        routes, default_handler_class=NotFoundHandler
+    )
 
 
-class MissingHandler(web.Handler):
+class NotFoundHandler(web.Handler):
     """Answers paths that do not exist."""
 
     def prepare(self):
@@ -34,10 +36,13 @@
 
 
 class OperatorHandler(web.AdminHandler):
-    """Base of the handlers that ask the leader."""
+    """Base class of the handlers that call the leader."""
 
-    async def ask(self, message: object) -> object | None:
-        """Return the answer, None after having shown a failure."""
+    async def call_leader(self, message: object) -> object | None:
+        """Return the leader's answer, or None after sending a failure.
+
+        If this replica does not lead, the failure names the leader.
+        """
         answer = await self.server.call(message)
         if isinstance(answer, outcomes.NotLeader):
             self.fail(
@@ -60,8 +65,8 @@
     """Reads and patches the configuration."""
 
     async def get(self):
-        """Answer with version and document."""
-        answer = await self.ask(messages.ReadConfig())
+        """Send the version and the document."""
+        answer = await self.call_leader(messages.ReadConfig())
         if answer is not None:
             self.set_header("ETag", f'"{answer.version}"')
             self.send_value(
@@ -73,21 +78,23 @@
 
     async def patch(self):
         """Apply a JSON Merge Patch against the version in If-Match."""
-        version = read_version(self.request.headers.get("If-Match", ""))
+        version = parse_if_match(self.request.headers.get("If-Match", ""))
         patch_id = self.request.headers.get("X-Patch-Id", "")
         if version is None:
-            self.bad("header If-Match must hold the version number patched")
+            self.send_bad_request(
+                "header If-Match must hold the version number patched"
+            )
             return
-        if not patch_id or len(patch_id) > MAX_PATCH_ID:
-            self.bad(
+        if not patch_id or len(patch_id) > MAX_PATCH_ID_CHARS:
+            self.send_bad_request(
                 "header X-Patch-Id must hold 1 to"
-                f" {MAX_PATCH_ID} characters, the same in every resend"
+                f" {MAX_PATCH_ID_CHARS} characters, the same in every resend"
             )
             return
         if self.read_json() is None:
-            self.bad("the body is not a JSON object")
+            self.send_bad_request("the body is not a JSON object")
             return
-        answer = await self.ask(
+        answer = await self.call_leader(
             messages.PatchConfig(
                 patch_id=patch_id,
                 base_version=version,
@@ -101,13 +108,13 @@
             return
         self.send_value({"version": answer.version})
 
-    def bad(self, message: str) -> None:
-        """Refuse a malformed request."""
+    def send_bad_request(self, message: str) -> None:
+        """Send a failure for a malformed request."""
         self.fail(errors.Failure(errors.ErrorCode.BAD_REQUEST, message))
 
 
-def read_version(header: str) -> int | None:
-    """Return the number in an If-Match header, None if there is none."""
+def parse_if_match(header: str) -> int | None:
+    """Return the version in an If-Match header, None if there is none."""
     text = header.strip().strip('"')
     return int(text) if text.isdigit() else None
 
@@ -116,22 +123,22 @@
     """Shows replicas, entries and endpoints."""
 
     async def get(self):
-        """Answer with the leader's view."""
-        answer = await self.ask(messages.ReadStatus())
+        """Send the leader's status document."""
+        answer = await self.call_leader(messages.ReadStatus())
         if answer is not None:
             self.send_json(200, answer.document)
 
 
 class ReplicaHandler(OperatorHandler):
-    """Shows this replica and changes the set of replicas."""
+    """Shows this replica and changes the replica set."""
 
     async def get(self):
-        """Answer with who this replica is; any replica answers."""
+        """Send information on this replica; any replica has it."""
         info = await self.server.call(messages.ReplicaHello())
         self.send_json(200, msgspec.json.encode(info))
 
     async def post(self):
-        """Change the set of replicas."""
+        """Change the replica set."""
         try:
             change = documents.CONVERTER.structure(
                 self.read_json(), messages.ChangeReplicas
@@ -140,16 +147,16 @@
             text = documents.explain(error)
             self.fail(errors.Failure(errors.ErrorCode.BAD_REQUEST, text))
             return
-        if await self.ask(change) is not None:
+        if await self.call_leader(change) is not None:
             self.send_value({"done": True})
 
 
 class SnapshotHandler(OperatorHandler):
-    """Hands out a copy of the whole state."""
+    """Exports a copy of the replicated state."""
 
     async def get(self):
-        """Answer with the bytes of a snapshot."""
-        answer = await self.ask(messages.TakeSnapshot())
+        """Send the bytes of a snapshot."""
+        answer = await self.call_leader(messages.TakeSnapshot())
         if answer is not None:
             self.set_header("Content-Type", "application/octet-stream")
             self.set_header("X-Index", str(answer.index))
@@ -157,11 +164,15 @@
 
 
 def routes(server) -> list[tuple]:
-    """Return the routes of operators."""
-    parts = {"token": server.settings.admin_token, "server": server}
+    """Return the HTTP routes of this module.
+
+    Args:
+        server: Has `settings.admin_token` and a coroutine method `call`.
+    """
+    arguments = {"token": server.settings.admin_token, "server": server}
     return [
-        (r"/v1/config", ConfigHandler, parts),
-        (r"/v1/status", StatusHandler, parts),
-        (r"/v1/replica", ReplicaHandler, parts),
-        (r"/v1/snapshot", SnapshotHandler, parts),
+        (r"/v1/config", ConfigHandler, arguments),
+        (r"/v1/status", StatusHandler, arguments),
+        (r"/v1/replica", ReplicaHandler, arguments),
+        (r"/v1/snapshot", SnapshotHandler, arguments),
     ]
--- a/src/_coltsfootroad/shell/quarantineapi.py
+++ b/src/_coltsfootroad/shell/quarantineapi.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP interface to requests in quarantine."""
+"""HTTP API for operators: requests in quarantine."""
 
 import re
 
@@ -9,15 +9,22 @@
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import fingerprints
 from _coltsfootroad.core import quarantine
-from _coltsfootroad.shell import operators
+from _coltsfootroad.shell import operatorapi
 
-DIGEST = re.compile(rf"[0-9a-f]{{{2 * fingerprints.DIGEST_BYTES}}}")
-MAX_REASON = 200
+DIGEST_PATTERN = re.compile(rf"[0-9a-f]{{{2 * fingerprints.DIGEST_BYTES}}}")
+MAX_REASON_CHARS = 200
 
 
 @attrs.frozen(kw_only=True)
 class NewEntry:
-    """An entry as an operator writes it; `fingerprint` as logs name it."""
+    """A quarantine entry in the form that operators submit.
+
+    Attributes:
+        workspace: The workspace whose requests are refused.
+        body_bytes: Size of the request's body.
+        fingerprint: Hex digest, as log lines show it.
+        reason: Why the request is refused.
+    """
 
     workspace: str
     body_bytes: int
@@ -25,79 +32,81 @@
     reason: str
 
 
-class QuarantineHandler(operators.OperatorHandler):
-    """Lists entries and adds one."""
+class QuarantineHandler(operatorapi.OperatorHandler):
+    """Lists and adds quarantine entries."""
 
     async def get(self):
-        """Answer with all entries, oldest first."""
-        copy = await self.ask(crashreports.ReadQuarantine())
-        if copy is not None:
-            entries = [document_of(entry) for entry in copy.entries]
+        """Send all entries, oldest first."""
+        answer = await self.call_leader(crashreports.ReadQuarantine())
+        if answer is not None:
+            entries = [to_document(entry) for entry in answer.entries]
             self.send_value({"entries": entries})
 
     async def post(self):
-        """Refuse a request from now on."""
+        """Add an entry: gateways refuse the request from now on."""
         try:
-            wanted = documents.CONVERTER.structure(self.read_json(), NewEntry)
+            new_entry = documents.CONVERTER.structure(
+                self.read_json(), NewEntry
+            )
         except Exception as error:  # noqa: BLE001
-            self.bad(documents.explain(error, "entry"))
+            self.send_bad_request(documents.explain(error, "entry"))
             return
-        fault = fault_of(wanted)
-        if fault:
-            self.bad(fault)
+        error_text = validation_error(new_entry)
+        if error_text:
+            self.send_bad_request(error_text)
             return
         command = crashreports.Quarantine(
             fingerprint=fingerprints.Fingerprint(
-                workspace=wanted.workspace,
-                body_bytes=wanted.body_bytes,
-                digest=bytes.fromhex(wanted.fingerprint),
+                workspace=new_entry.workspace,
+                body_bytes=new_entry.body_bytes,
+                digest=bytes.fromhex(new_entry.fingerprint),
             ),
-            reason=wanted.reason,
+            reason=new_entry.reason,
         )
-        if await self.ask(command) is not None:
+        if await self.call_leader(command) is not None:
             self.send_value({"done": True})
 
-    def bad(self, message: str) -> None:
-        """Refuse a malformed request."""
+    def send_bad_request(self, message: str) -> None:
+        """Send a failure for a malformed request."""
         self.fail(errors.Failure(errors.ErrorCode.BAD_REQUEST, message))
 
 
-class QuarantineEntryHandler(operators.OperatorHandler):
-    """Ends one entry."""
+class QuarantineEntryHandler(operatorapi.OperatorHandler):
+    """Removes a quarantine entry."""
 
     async def delete(self, digest):
-        """Run a request again."""
-        copy = await self.ask(crashreports.ReadQuarantine())
-        if copy is None:
+        """Remove an entry: gateways accept the request again."""
+        answer = await self.call_leader(crashreports.ReadQuarantine())
+        if answer is None:
             return
-        found = [e for e in copy.entries if e.fingerprint.text == digest]
-        if not found:
+        matches = [e for e in answer.entries if e.fingerprint.text == digest]
+        if not matches:
             text = f"no request {digest!r} is in quarantine"
             self.fail(errors.Failure(errors.ErrorCode.NOT_FOUND, text))
             return
         command = crashreports.EndQuarantine(
-            fingerprint=found[0].fingerprint, reason="removed by an operator"
+            fingerprint=matches[0].fingerprint, reason="removed by an operator"
         )
-        if await self.ask(command) is not None:
+        if await self.call_leader(command) is not None:
             self.send_value({"done": True})
 
 
-def fault_of(wanted: NewEntry) -> str:
-    """Return what is wrong with an entry, empty if nothing is."""
-    if not DIGEST.fullmatch(wanted.fingerprint):
+def validation_error(new_entry: NewEntry) -> str:
+    """Return why an entry is invalid, empty if it is valid."""
+    if not DIGEST_PATTERN.fullmatch(new_entry.fingerprint):
         return (
             f"fingerprint must hold {2 * fingerprints.DIGEST_BYTES} lower-case"
-            f" hex digits, not {wanted.fingerprint!r}"
+            f" hex digits, not {new_entry.fingerprint!r}"
         )
-    if wanted.body_bytes < 0:
-        return f"body_bytes must not be negative, as {wanted.body_bytes} is"
-    if not 0 < len(wanted.reason) <= MAX_REASON:
-        return f"reason must hold 1 to {MAX_REASON} characters"
+    if new_entry.body_bytes < 0:
+        return f"body_bytes must not be negative, as {new_entry.body_bytes} is"
+    if not 0 < len(new_entry.reason) <= MAX_REASON_CHARS:
+        return f"reason must hold 1 to {MAX_REASON_CHARS} characters"
     return ""
 
 
-def document_of(entry: quarantine.Entry) -> dict:
-    """Return an entry as plain JSON values."""
+def to_document(entry: quarantine.Entry) -> dict:
+    """Return an entry as JSON values."""
     return {
         "workspace": entry.fingerprint.workspace,
         "body_bytes": entry.fingerprint.body_bytes,
@@ -112,9 +121,13 @@
 
 
 def routes(server) -> list[tuple]:
-    """Return the routes of operators."""
-    parts = {"token": server.settings.admin_token, "server": server}
+    """Return the HTTP routes of this module.
+
+    Args:
+        server: Has `settings.admin_token` and a coroutine method `call`.
+    """
+    arguments = {"token": server.settings.admin_token, "server": server}
     return [
-        (r"/v1/quarantine", QuarantineHandler, parts),
-        (r"/v1/quarantine/([0-9a-f]+)", QuarantineEntryHandler, parts),
+        (r"/v1/quarantine", QuarantineHandler, arguments),
+        (r"/v1/quarantine/([0-9a-f]+)", QuarantineEntryHandler, arguments),
     ]
--- a/src/_coltsfootroad/shell/quarantinelog.py
+++ b/src/_coltsfootroad/shell/quarantinelogger.py
@@ -1,4 +1,4 @@
-"""Logs what a replica applies to the quarantine."""
+"""Logs changes of the quarantine that a replica applies."""
 
 from _coltsfootroad.control import node as node_lib
 from _coltsfootroad.core import quarantine
@@ -7,15 +7,15 @@
 LOG = logs.logger("quarantine")
 
 
-class QuarantineLog:
-    """Compares the table with what was logged last."""
+class QuarantineLogger:
+    """Compares the quarantine table with the one last logged."""
 
     def __init__(self, node: node_lib.ControlNode):
         self.node = node
         self.revision = -1
         self.logged: dict = {}
 
-    def note(self) -> None:
+    def log_changes(self) -> None:
         """Log what has changed since the last call."""
         table = self.node.state.quarantine
         if table.revision == self.revision:
@@ -29,10 +29,10 @@
                 self.log_entry("out of quarantine", entry)
         self.logged = dict(table.entries)
 
-    def log_entry(self, text: str, entry: quarantine.Entry) -> None:
-        """Log one entry."""
+    def log_entry(self, event: str, entry: quarantine.Entry) -> None:
+        """Log an entry that was added, changed or removed."""
         LOG.info(
-            text,
+            event,
             fingerprint=entry.fingerprint.text,
             workspace=entry.fingerprint.workspace,
             reason=entry.reason,
--- a/src/_coltsfootroad/shell/quorumlog.py
+++ b/src/_coltsfootroad/shell/quorumlogger.py
@@ -1,4 +1,4 @@
-"""Logs what a replica learns of the others: elections, set, tolerance."""
+"""Logs elections, replica set changes, quorum and fault tolerance."""
 
 from _coltsfootroad.control import node as node_lib
 from _coltsfootroad.control import quorum
@@ -7,43 +7,43 @@
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("quorum")
-# Pause between lines that repeat an unresolved state.
-REPEAT_S = 10.0
-# Pause between lines of a replica that seeks votes and gets too few.
-CAMPAIGN_REPEAT_S = 2.0
-CANDIDATES = (raft_lib.Role.PRE_CANDIDATE, raft_lib.Role.CANDIDATE)
+# Interval between log lines that repeat an unresolved state.
+REPEAT_INTERVAL_S = 10.0
+# Interval between log lines of a candidate that gets too few votes.
+CAMPAIGN_REPEAT_INTERVAL_S = 2.0
+CANDIDATE_ROLES = (raft_lib.Role.PRE_CANDIDATE, raft_lib.Role.CANDIDATE)
 NEVER = float("-inf")
 
 
-class QuorumLog:
-    """Compares what a replica believes with what was logged last."""
+class QuorumLogger:
+    """Compares the state that a replica sees with the one last logged."""
 
     def __init__(self, node: node_lib.ControlNode):
         self.node = node
         self.logged_set = node.raft.replica_set
         self.is_lost = False
         self.led_term = 0
-        self.tolerated: int | None = None
+        self.logged_tolerance: int | None = None
         self.reduced_since = NEVER
         self.tolerance_logged_at = NEVER
         self.campaign_logged_at = NEVER
 
-    def note(self, now: float) -> None:
+    def log_changes(self, now: float) -> None:
         """Log what has changed since the last call."""
         current = self.node.raft.replica_set
         if current != self.logged_set:
-            self.log_set(self.logged_set, current, now)
+            self.log_replica_set(self.logged_set, current, now)
             self.logged_set = current
-        self.note_role(now)
+        self.log_role_change(now)
         view = self.node.watch.view(now)
         if view.is_lost != self.is_lost and view.failures_tolerated is not None:
             self.is_lost = view.is_lost
             self.log_quorum(view)
-        self.note_tolerance(view, now)
-        self.note_faults()
+        self.log_tolerance(view, now)
+        self.log_faults()
 
-    def note_role(self, now: float) -> None:
-        """Log an election won or lost, and a campaign without a result."""
+    def log_role_change(self, now: float) -> None:
+        """Log gained and lost leadership, and elections without a winner."""
         raft = self.node.raft
         if raft.is_leader and self.led_term != raft.term:
             self.led_term = raft.term
@@ -53,22 +53,22 @@
                 votes=sorted(raft.votes),
                 last_index=raft.log.last_index,
                 commit=raft.commit,
-                **self.lateness(now),
+                **self.election_timer_fields(now),
             )
         elif not raft.is_leader and self.led_term:
             LOG.info(
                 "stepped down",
                 led_term=self.led_term,
                 term=raft.term,
-                **self.lateness(now),
+                **self.election_timer_fields(now),
             )
             self.led_term = 0
-        if raft.role in CANDIDATES and not raft.timer.heard_lately(now):
+        if raft.role in CANDIDATE_ROLES and not raft.timer.heard_lately(now):
             self.log_campaign(now)
 
     def log_campaign(self, now: float) -> None:
-        """Log who refuses a vote, and why, and who does not respond."""
-        if now < self.campaign_logged_at + CAMPAIGN_REPEAT_S:
+        """Log refused votes with their reasons, and unresponsive voters."""
+        if now < self.campaign_logged_at + CAMPAIGN_REPEAT_INTERVAL_S:
             return
         self.campaign_logged_at = now
         raft = self.node.raft
@@ -82,11 +82,11 @@
             votes=sorted(raft.votes),
             refused=dict(raft.refusals),
             unanswered=sorted(raft.replica_set.voter_identities() - responded),
-            **self.lateness(now),
+            **self.election_timer_fields(now),
         )
 
-    def lateness(self, now: float) -> dict[str, float | int]:
-        """Return what decides how long this replica waits for a leader."""
+    def election_timer_fields(self, now: float) -> dict[str, float | int]:
+        """Return the state that determines the election time-out."""
         timer = self.node.raft.timer
         return {
             "timeout_scale": round(timer.timeout_scale(now), 2),
@@ -95,64 +95,66 @@
             "leader_gap_s": round(timer.leader_gap_s, 2),
         }
 
-    def note_tolerance(self, view: quorum.QuorumView, now: float) -> None:
+    def log_tolerance(self, view: quorum.QuorumView, now: float) -> None:
         """Log a change of the fault tolerance; repeat while it is reduced."""
         tolerated = view.failures_tolerated
         if tolerated is None:
-            self.tolerated = None
+            self.logged_tolerance = None
             return
         is_reduced = tolerated < self.node.membership.losses
         if not is_reduced:
             self.reduced_since = now
-        is_repeat = tolerated == self.tolerated
-        is_due = is_reduced and now >= self.tolerance_logged_at + REPEAT_S
+        is_repeat = tolerated == self.logged_tolerance
+        is_due = (
+            is_reduced and now >= self.tolerance_logged_at + REPEAT_INTERVAL_S
+        )
         if is_repeat and not is_due:
             return
-        if self.tolerated is None:
+        if self.logged_tolerance is None:
             self.reduced_since = now
         raft = self.node.raft
         log = LOG.warning if is_reduced else LOG.info
         log(
             "fault tolerance reduced" if is_reduced else "fault tolerance",
             failures_tolerated=tolerated,
-            before=self.tolerated,
+            before=self.logged_tolerance,
             reduced_for_s=round(now - self.reduced_since, 1),
-            voters=names(raft.replica_set.voters),
+            voters=identities(raft.replica_set.voters),
             silent=view.silent,
             lagging=view.lagging,
             term=raft.term,
             commit=raft.commit,
         )
-        self.tolerated = tolerated
+        self.logged_tolerance = tolerated
         self.tolerance_logged_at = now
 
-    def note_faults(self) -> None:
+    def log_faults(self) -> None:
         """Log commands that were not applied, and calls without an answer."""
         while self.node.faults:
-            found = self.node.faults.popleft()
-            is_call = found.index is None
+            failure = self.node.faults.popleft()
+            is_call = failure.index is None
             LOG.error(
                 "call not answered" if is_call else "command not applied",
-                index=found.index,
-                kind=found.kind,
-                fault=found.fault,
+                index=failure.index,
+                kind=failure.kind,
+                fault=failure.fault,
             )
 
-    def log_set(
+    def log_replica_set(
         self,
         before: replicas.ReplicaSet,
         after: replicas.ReplicaSet,
         now: float,
     ) -> None:
-        """Log a change of the set, and why the leader made it."""
+        """Log a change of the replica set, and the leader's reason."""
         raft = self.node.raft
         view = self.node.watch.view(now)
         LOG.info(
             "replica set changed",
-            before=names(before.voters),
-            voters=names(after.voters),
+            before=identities(before.voters),
+            voters=identities(after.voters),
             joint=after.is_joint,
-            learners=names(after.learners),
+            learners=identities(after.learners),
             why=self.node.change_reason if raft.is_leader else "replicated",
             silent=view.silent,
             failures_tolerated=view.failures_tolerated,
@@ -161,11 +163,11 @@
         )
 
     def log_quorum(self, view: quorum.QuorumView) -> None:
-        """Log that no quorum is available any more, or that one is again."""
+        """Log that the quorum was lost or regained."""
         raft = self.node.raft
         LOG.warning(
             "quorum lost" if view.is_lost else "quorum regained",
-            voters=names(raft.replica_set.voters),
+            voters=identities(raft.replica_set.voters),
             silent=view.silent,
             lagging=view.lagging,
             failures_tolerated=view.failures_tolerated,
@@ -173,6 +175,6 @@
         )
 
 
-def names(voters: tuple[replicas.Replica, ...]) -> list[str]:
-    """Return the identities, for a log line."""
+def identities(voters: tuple[replicas.Replica, ...]) -> list[str]:
+    """Return the identities of replicas."""
     return [voter.identity for voter in voters]
--- a/src/_coltsfootroad/shell/loanlog.py
+++ b/src/_coltsfootroad/shell/retryloanlogger.py
@@ -1,28 +1,28 @@
-"""Logs what the leader lends to gateways, and counts it."""
+"""Logs and counts the retries that the leader lends to gateways."""
 
 from _coltsfootroad.control import node as node_lib
 from _coltsfootroad.control import retrylending
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("retries")
-# Lines in one second; gateways ask at once when all endpoints fail.
-LINES_PER_S = 20
+# When all endpoints fail, all gateways borrow retries at the same time.
+MAX_LINES_PER_S = 20
 
 
-class LoanLog:
-    """Writes a line for each answer to a gateway that asks for retries."""
+class RetryLoanLogger:
+    """Writes a line for each answer to a gateway that borrows retries."""
 
     def __init__(self, node: node_lib.ControlNode):
         self.node = node
-        self.lines = logs.LineLimit(LINES_PER_S, 1.0)
+        self.line_limit = logs.LineLimit(MAX_LINES_PER_S, 1.0)
 
-    def note(
+    def log_answer(
         self, request: retrylending.BorrowRetries, answer: object, now: float
     ) -> None:
-        """Log an answer with what decided it."""
+        """Log an answer with the values that determined it."""
         hub = self.node.hub
-        lent = isinstance(answer, retrylending.RetriesLent)
-        if hub is None or not lent or not self.lines.allows(now):
+        is_lent = isinstance(answer, retrylending.RetriesLent)
+        if hub is None or not is_lent or not self.line_limit.allows(now):
             return
         lender = hub.retry_lender
         LOG.info(
@@ -38,7 +38,7 @@
         )
 
     def outstanding(self) -> int | None:
-        """Return the retries lent of all services, None if none leads."""
+        """Return the retries lent to all services, None if not the leader."""
         hub = self.node.hub
         if hub is None:
             return None
--- a/src/_coltsfootroad/shell/traffic.py
+++ b/src/_coltsfootroad/shell/traffic.py
@@ -1,7 +1,7 @@
 """Counts the messages and bytes that this process exchanges, by kind.
 
-Bytes between availability zones are dear, and a link that is full delays
-whatever else is on it. These counts say which kind of message to look at.
+Traffic between availability zones is expensive, and a saturated link delays
+all messages on it. The counts show which kind of message causes the traffic.
 """
 
 import enum
@@ -12,12 +12,11 @@
 from _coltsfootroad.shell import metrics as metrics_lib
 
 LOG = logs.logger("traffic")
-# Pause between two log lines of a process.
-LOG_EVERY_S = 10.0
+LOG_INTERVAL_S = 10.0
 
 
 class Direction(enum.Enum):
-    """Which way a message goes."""
+    """Whether this process sends or receives a message."""
 
     SENT = "sent"
     RECEIVED = "received"
@@ -25,7 +24,7 @@
 
 @attrs.define
 class Count:
-    """Messages of one kind and their bytes."""
+    """Number and total bytes of the messages of one kind."""
 
     messages: int = 0
     size: int = 0
@@ -33,7 +32,13 @@
 
 @attrs.define
 class Traffic:
-    """The messages of one process by direction and kind."""
+    """Counts the messages of one process by direction and kind.
+
+    Attributes:
+        counts: Totals since the start of the process.
+        logged: Totals at the last log line.
+        logged_at: Boot time of the last log line.
+    """
 
     counts: dict[Direction, dict[str, Count]] = attrs.Factory(
         lambda: {direction: {} for direction in Direction}
@@ -43,7 +48,7 @@
     )
     logged_at: float = 0.0
 
-    def note(self, direction: Direction, kind: str, size: int) -> None:
+    def count(self, direction: Direction, kind: str, size: int) -> None:
         """Count one message of `size` bytes."""
         counts = self.counts[direction]
         count = counts.get(kind)
@@ -52,68 +57,68 @@
         count.messages += 1
         count.size += size
 
-    def sizes(self, direction: Direction) -> dict[str, float]:
-        """Return the bytes of each kind since the start."""
+    def byte_counts(self, direction: Direction) -> dict[str, float]:
+        """Return the bytes of each kind since the process started."""
         counts = self.counts[direction]
         return {kind: float(count.size) for kind, count in counts.items()}
 
-    def numbers(self, direction: Direction) -> dict[str, float]:
-        """Return the messages of each kind since the start."""
+    def message_counts(self, direction: Direction) -> dict[str, float]:
+        """Return the number of messages of each kind since the start."""
         counts = self.counts[direction]
         return {kind: float(count.messages) for kind, count in counts.items()}
 
-    def log(self, now: float) -> None:
-        """Write what came since the last line, one line in some seconds."""
-        if now - self.logged_at < LOG_EVERY_S:
+    def log_if_due(self, now: float) -> None:
+        """Log the counts since the last line, every `LOG_INTERVAL_S`."""
+        if now - self.logged_at < LOG_INTERVAL_S:
             return
         self.logged_at = now
         LOG.info(
             "exchanged",
-            sent=self.news(Direction.SENT),
-            received=self.news(Direction.RECEIVED),
+            sent=self.counts_since_log(Direction.SENT),
+            received=self.counts_since_log(Direction.RECEIVED),
         )
 
-    def news(self, direction: Direction) -> dict[str, list[int]]:
-        """Return messages and bytes by kind since the last line."""
+    def counts_since_log(self, direction: Direction) -> dict[str, list[int]]:
+        """Return messages and bytes by kind since the last log line."""
         before = self.logged[direction]
         counts = self.counts[direction]
         self.logged[direction] = {k: attrs.evolve(c) for k, c in counts.items()}
-        found = {}
+        changes = {}
         for kind, count in counts.items():
-            known = before.get(kind, Count())
-            if count.messages > known.messages:
-                found[kind] = [
-                    count.messages - known.messages,
-                    count.size - known.size,
+            previous = before.get(kind, Count())
+            if count.messages > previous.messages:
+                changes[kind] = [
+                    count.messages - previous.messages,
+                    count.size - previous.size,
                 ]
-        return found
+        return changes
 
     def add_metrics(self, metrics: metrics_lib.Metrics) -> None:
-        """Register the counts."""
+        """Register the counts as metrics."""
         for direction in Direction:
             metrics.counter_by(
                 f"colts_bytes_{direction.value}",
                 f"Bytes of messages {direction.value}, by kind",
                 "kind",
-                lambda direction=direction: self.sizes(direction),
+                lambda direction=direction: self.byte_counts(direction),
             )
             metrics.counter_by(
                 f"colts_messages_{direction.value}",
                 f"Messages {direction.value}, by kind",
                 "kind",
-                lambda direction=direction: self.numbers(direction),
+                lambda direction=direction: self.message_counts(direction),
             )
 
 
-# A process has one set of links, whatever program it runs.
+# Shared by all connections of this process.
 PROCESS = Traffic()
 
 
-def sent(kind: str, size: int) -> None:
-    """Count a message that leaves this process."""
-    PROCESS.note(Direction.SENT, kind, size)
+def count_sent(kind: str, size: int) -> None:
+    """Count a message that this process sends."""
+    PROCESS.count(Direction.SENT, kind, size)
 
 
-def received(kind: str, size: int) -> None:
-    """Count a message that came to this process."""
-    PROCESS.note(Direction.RECEIVED, kind, size)
+def count_received(kind: str, size: int) -> None:
+    """Count a message that this process has received."""
+    PROCESS.count(Direction.RECEIVED, kind, size)
--- a/src/_coltsfootroad/shell/web.py
+++ b/src/_coltsfootroad/shell/web.py
@@ -34,7 +34,7 @@
         idle_connection_timeout=IDLE_TIMEOUT_S,
     )
     host, port = settings_lib.split_address(address)
-    with listening.at(address):
+    with listening.errors_at(address):
         server.listen(port, host)
     return server
 
--- a/src/_coltsfootroad/shell/wire.py
+++ b/src/_coltsfootroad/shell/wire.py
@@ -1,4 +1,4 @@
-"""The messages of our processes as bytes on a connection."""
+"""Encodes messages for connections between processes."""
 
 import attrs
 from expression import Result
@@ -8,30 +8,30 @@
 from _coltsfootroad.core import errors
 from _coltsfootroad.shell import traffic
 
-# Shorter messages fit one packet or two; compressing them saves no packet.
+# Shorter messages fit into one or two packets, which compression cannot save.
 MIN_COMPRESSED_BYTES = 1_500
 
 
 @attrs.define
-class Wire:
-    """Encodes a closed set of messages, long ones compressed, and counts."""
+class WireFormat:
+    """Encodes a fixed set of messages; compresses long ones; counts traffic."""
 
     messages: codec.Codec
 
     @classmethod
-    def of(cls, *classes: type) -> "Wire":
-        """Return the wire form of the given attrs classes."""
+    def of(cls, *classes: type) -> "WireFormat":
+        """Return the wire format of the given attrs classes."""
         return cls(codec.Codec.of(*classes))
 
     def encode(self, message: object) -> bytes:
         """Return the bytes to send."""
         data = packing.pack(self.messages.encode(message), MIN_COMPRESSED_BYTES)
-        traffic.sent(type(message).__name__, len(data))
+        traffic.count_sent(type(message).__name__, len(data))
         return data
 
     def decode(self, data: bytes) -> Result[object, errors.Failure]:
-        """Return the message that was received, or what is wrong with it."""
+        """Decode a received message, or return why that is impossible."""
         decoded = packing.unpack(data).bind(self.messages.decode)
         kind = type(decoded.ok).__name__ if decoded.is_ok() else "unreadable"
-        traffic.received(kind, len(data))
+        traffic.count_received(kind, len(data))
         return decoded
--- a/src/_coltsfootroad/shell/wirecalls.py
+++ b/src/_coltsfootroad/shell/wireformats.py
@@ -1,4 +1,8 @@
-"""The messages that the processes of control and the entries exchange."""
+"""The sets of messages that control processes, gateways and entries exchange.
+
+`CALLS` holds requests to the control plane and their responses, `PEERS` the
+Raft messages between replicas, and `NOTES` the messages between entries.
+"""
 
 import attrs
 
@@ -15,12 +19,12 @@
 
 @attrs.frozen(kw_only=True)
 class NoteBatch:
-    """Dispatches that an entry tells other entries of."""
+    """A batch of dispatch notes from one entry to the others."""
 
     notes: tuple[actions.DispatchNote, ...]
 
 
-CALLS = wire.Wire.of(
+CALLS = wire.WireFormat.of(
     messages.PatchConfig,
     messages.PatchAnswer,
     messages.TakeClaim,
@@ -64,8 +68,8 @@
     retrylending.BorrowRetries,
     retrylending.RetriesLent,
 )
-NOTES = wire.Wire.of(NoteBatch)
-PEERS = wire.Wire.of(
+NOTES = wire.WireFormat.of(NoteBatch)
+PEERS = wire.WireFormat.of(
     peers.VoteRequest,
     peers.VoteReply,
     peers.Append,
