--- a/features/shell/disk.feature
+++ b/features/shell/disk.feature
@@ -1,6 +1,6 @@
-Feature: The data folder keeps what was synced and refuses damage
+Feature: The data folder keeps synced data and refuses corrupt data
 
-  Scenario Outline: <damage> of a log of 5 batches
+  Scenario Outline: Damage to a data folder with 5 batches: <damage>
     Given a data folder with 5 synced batches
     When the log suffers <damage>
     Then opening it again <outcome>
@@ -15,24 +15,24 @@
       | a newer format      | fails with "has format 9"           |
       | a lost snapshot     | fails with "which is missing"       |
 
-  Scenario: Two processes cannot use one folder
+  Scenario: Two processes cannot use the same folder
     Given a data folder with 1 synced batches
     Then opening it a second time fails with "is in use"
 
-  Scenario: A full disk refuses a batch and keeps the others
+  Scenario: A full disk refuses a batch and keeps earlier batches
     Given a data folder with 2 synced batches
     When the disk is full for one batch
     Then the batch is refused with "is full"
     And opening it again finds 2 batches
 
-  Scenario: A snapshot that does not fit leaves the room to the log
+  Scenario: A snapshot that does not fit is removed, as the log needs the space
     Given a data folder with 2 synced batches
     When the disk is full while a snapshot is saved
     Then the snapshot is refused with "is full"
     And no part of it is left on the disk
     And opening it again finds 2 batches
 
-  Scenario: A snapshot that does not fit is not tried again at once
+  Scenario: A snapshot that does not fit is not retried at once
     Given a replica whose log is due for a snapshot and whose disk has no room
     When it goes on for 10 s
     Then it tries to save one at most 36 times
--- a/features/shell/fenced.feature
+++ b/features/shell/fenced.feature
@@ -1,7 +1,8 @@
-Feature: An entry without a current configuration gives no definite refusal
+Feature: An entry with an outdated configuration sends no final refusal
 
-  # Guards against a caller that takes an outdated refusal for final.
-  Scenario Outline: A request with <fault> at an entry whose configuration is <state>
+  # Guards against a refusal by an outdated configuration that a caller takes
+  # for final.
+  Scenario Outline: A request with <fault> to an entry whose configuration is <state>
     Given an entry whose configuration is <state>
     When a caller sends it a request with <fault>
     Then it is refused with <status> as <code>
--- a/features/shell/links.feature
+++ b/features/shell/links.feature
@@ -1,29 +1,29 @@
-Feature: Calls between processes that share one way to the leader
+Feature: Calls to the leader and streams between replicas
 
-  Scenario: A call that times out does not end the others on its way
+  Scenario: A call that times out does not cancel others on its channel
     Given a replica that answers a call after 0.8 s
-    When one call allows 0.3 s and another one 3 s, both at once
-    Then the first has no answer and the second is answered
+    When one call has a time-out of 0.3 s and a concurrent one of 3 s
+    Then the first gets no answer and the second is answered
 
-  Scenario: Whoever is told to stop still stops while a call runs
+  Scenario: A call that is cancelled ends at once
     Given a replica that answers a call after 5 s
     When a call is cancelled after 0.2 s
     Then it ends as cancelled
 
-  Scenario Outline: A path that was <way> while a connection began works soon after
-    Given a replica behind a path that is <way>
-    When a call is made, and 1 s later the path is whole
+  Scenario Outline: A connection attempt during <way> of the path recovers soon
+    Given a replica behind a path with <way>
+    When a call is made, and 1 s later the path is restored
     Then calls are answered again within <most> s
 
-    Examples: what began to connect is given up; what looked connected pings
+    Examples: an attempt to connect times out; an open connection is pinged
       | way      | most |
       | silence  | 2    |
       | drop_out | 2    |
       | drop_in  | 4    |
 
-  Scenario Outline: A stream between replicas that goes silent is replaced
-    Given a replica that gets messages over a path
-    When the path is <way> for 1 s and whole from then on
+  Scenario Outline: A peer stream over a path with <way> is replaced
+    Given a replica that receives messages over a path
+    When the path has <way> for 1 s and is restored then
     Then messages arrive again within 5 s
 
     Examples:
@@ -31,11 +31,12 @@
       | silence |
       | drop_in |
 
-  # Guards against a replica that gets nothing more while it reaches everybody.
-  Scenario Outline: A stream between replicas whose <part> is replaced
+  # Guards against a replica that receives no more messages, although it can
+  # reach all others, because a dead stream to it is not replaced.
+  Scenario Outline: A peer stream whose <part> is replaced
     Given a peer stream whose <part>
     When messages are sent to the peer for 4 s
-    Then messages arrive by a later stream within 3.5 s
+    Then messages arrive on a later stream within 3.5 s
 
     Examples:
       | part                                |
@@ -48,12 +49,12 @@
       | connection is never made            |
       | write never returns, nor does close |
 
-  Scenario: A stream between replicas that works is kept
+  Scenario: A peer stream that works is kept
     Given a peer stream that works
     When messages are sent to the peer for 4 s
-    Then all arrive by the first stream
+    Then all arrive on the first stream
 
-  Scenario: A stream between replicas that has nothing to carry is kept
+  Scenario: A peer stream that is idle is kept
     Given a peer stream that works
     When messages are sent to the peer, 0.1 s apart, and more of them 3 s later
-    Then all arrive by the first stream
+    Then all arrive on the first stream
--- a/features/shell/listening.feature
+++ b/features/shell/listening.feature
@@ -1,11 +1,11 @@
-Feature: A program that cannot listen says at which address
+Feature: A program that cannot listen on an address names that address
 
-  Scenario Outline: <program>'s <setting> is in use
+  Scenario Outline: The <setting> address of the <program> is in use
     Given the settings of a <program>
-    And another program listens at its <setting>
+    And another program listens on its <setting> address
     When it is started and ends
     Then it has ended with exit code 1
-    And it complains of that address and of nothing else
+    And its error output is about that address only
 
     Examples:
       | program | setting          |
--- a/features/shell/ports.feature
+++ b/features/shell/ports.feature
@@ -1,11 +1,11 @@
-Feature: Programs of one test get ports of their own
+Feature: Each program of a test gets ports of its own
 
-  # Guards against a program that finds its port taken by one that was set up
-  # beside it, when neither listened yet.
-  Scenario: Ports that are handed out one after another differ
-    When 40 ports are handed out, few of them at a time, from 50
+  # Guards against two programs with the same port: a port that was allocated,
+  # but on which no program listens yet, was allocated again.
+  Scenario: Ports that are allocated in succession differ
+    When 40 ports are allocated, few at a time, from a range of 50
     Then all of them differ
 
-  Scenario: Ports come again once most of them were handed out
-    When 120 ports are handed out, few of them at a time, from 50
+  Scenario: Ports are reused once most of the range has been allocated
+    When 120 ports are allocated, few at a time, from a range of 50
     Then each of them is one of the 50
--- a/features/steps/fenced_steps.py
+++ b/features/steps/fenced_steps.py
@@ -1,4 +1,4 @@
-"""Steps on refusals of an entry by the age of its configuration."""
+"""Steps for refusals of entries with a current or outdated configuration."""
 
 import asyncio
 import json
@@ -24,12 +24,12 @@
 
 
 @given("an entry whose configuration is {state}")
-def entry_with(context, state):
+def set_configuration_age(context, state):
     context.age_s = AGE_S[state]
 
 
-def core_of(now: float, age_s: float) -> entry_lib.EntryCore:
-    """Return an entry's core whose configuration was confirmed earlier."""
+def make_core(now: float, age_s: float) -> entry_lib.EntryCore:
+    """Return an entry's core with a configuration confirmed `age_s` ago."""
     core = entry_lib.EntryCore("e1", 1, random.Random(1))
     workspace = config_lib.Workspace(
         key_sha256=(web.hash_key(KEY),), services=(SERVICE,)
@@ -46,10 +46,10 @@
 
 
 @when("a caller sends it a request with {fault}")
-def sends(context, fault):
+def send_request(context, fault):
     async def run():
         loop = asyncio.get_running_loop()
-        core = core_of(loop.time(), context.age_s)
+        core = make_core(loop.time(), context.age_s)
         server = types.SimpleNamespace(core=core, loop=loop)
         app = tornado.web.Application(callers.routes(server))
         listener = app.listen(0, "127.0.0.1")
@@ -73,6 +73,6 @@
 
 @then("it is refused with {status:d} as {code}")
 def refused_as(context, status, code):
-    found = context.response
-    error = json.loads(found.body)["error"]
-    assert (found.code, error["code"]) == (status, code), found.body
+    response = context.response
+    error = json.loads(response.body)["error"]
+    assert (response.code, error["code"]) == (status, code), response.body
--- a/features/steps/links_steps.py
+++ b/features/steps/links_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the way from a process to the leader."""
+"""Steps for calls to the leader and streams between replicas."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
 from _coltsfootroad.shell import wireformats
 from features.soak import proxy as proxy_lib
 
-# How long messages are sent once a path is whole.
+# How long messages are sent after a path has been restored.
 MESSAGES_S = 6.0
 
 
@@ -26,8 +26,8 @@
     context.answer_s = seconds
 
 
-def with_link(context, story):
-    """Run a story with a link to the replica."""
+def run_with_client(context, calls):
+    """Run a coroutine function with a client of the replica."""
 
     async def on_call(_):
         await asyncio.sleep(context.answer_s)
@@ -39,7 +39,7 @@
         await server.start()
         link = links.GrpcControlClient((f"127.0.0.1:{port}",))
         try:
-            return await story(link)
+            return await calls(link)
         finally:
             await link.close()
             await server.stop(grace=0)
@@ -47,18 +47,20 @@
     return asyncio.run(run())
 
 
-@when("one call allows {short:g} s and another one {long:g} s, both at once")
+@when(
+    "one call has a time-out of {short:g} s and a concurrent one of {long:g} s"
+)
 def two_calls(context, short, long):
-    async def story(link):
+    async def calls(link):
         return await asyncio.gather(
             link.call(messages.ReadRoutes(), short),
             link.call(messages.ReadRoutes(), long),
         )
 
-    context.answers = with_link(context, story)
+    context.answers = run_with_client(context, calls)
 
 
-@then("the first has no answer and the second is answered")
+@then("the first gets no answer and the second is answered")
 def second_answered(context):
     first, second = context.answers
     assert first.is_error(), first
@@ -68,15 +70,15 @@
 
 @when("a call is cancelled after {seconds:g} s")
 def cancelled(context, seconds):
-    async def story(link):
+    async def calls(link):
         task = asyncio.ensure_future(link.call(messages.ReadRoutes(), 60.0))
         await asyncio.sleep(seconds)
-        began = time.monotonic()
+        started = time.monotonic()
         task.cancel()
         await asyncio.wait([task], timeout=2.0)
-        return task, time.monotonic() - began
+        return task, time.monotonic() - started
 
-    context.task, context.took_s = with_link(context, story)
+    context.task, context.took_s = run_with_client(context, calls)
 
 
 @then("it ends as cancelled")
@@ -85,14 +87,14 @@
     assert context.took_s < 0.5, context.took_s
 
 
-@given("a replica behind a path that is {way}")
+@given("a replica behind a path with {way}")
 def behind_path(context, way):
     context.way = way
     context.answer_s = 0.0
 
 
-@when("a call is made, and {seconds:g} s later the path is whole")
-def path_whole(context, seconds):
+@when("a call is made, and {seconds:g} s later the path is restored")
+def path_restored(context, seconds):
     async def on_call(_):
         return wireformats.CALLS.encode(outcomes.Done())
 
@@ -107,9 +109,9 @@
         first = asyncio.ensure_future(link.call(messages.ReadRoutes(), seconds))
         await asyncio.sleep(seconds)
         proxy.set_way("")
-        began = time.monotonic()
+        started = time.monotonic()
         answer = await link.call(messages.ReadRoutes(), 30.0)
-        context.took_s = time.monotonic() - began
+        context.took_s = time.monotonic() - started
         context.answer = answer
         await first
         await link.close()
@@ -125,16 +127,16 @@
     assert context.took_s <= seconds, context.took_s
 
 
-@given("a replica that gets messages over a path")
-def gets_messages(context):
-    context.got = []
+@given("a replica that receives messages over a path")
+def receives_messages(context):
+    context.arrived_at = []
 
 
-@when("the path is {way} for {seconds:g} s and whole from then on")
-def path_bent(context, way, seconds):
+@when("the path has {way} for {seconds:g} s and is restored then")
+def path_disturbed(context, way, seconds):
     async def run():
         server = links.make_server(
-            None, lambda *_: context.got.append(time.monotonic())
+            None, lambda *_: context.arrived_at.append(time.monotonic())
         )
         port = server.add_insecure_port("127.0.0.1:0")
         await server.start()
@@ -148,7 +150,7 @@
         proxy.set_way(way)
         await send_for(link, vote, seconds)
         proxy.set_way("")
-        context.whole_at = time.monotonic()
+        context.restored_at = time.monotonic()
         await send_for(link, vote, MESSAGES_S)
         await link.close()
         await proxy.close()
@@ -158,7 +160,7 @@
 
 
 async def send_for(link, message, seconds: float) -> None:
-    """Send a message each tenth of a second."""
+    """Send a message every 0.1 s."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         link.send(message)
@@ -167,17 +169,21 @@
 
 @then("messages arrive again within {seconds:g} s")
 def arrive_again(context, seconds):
-    assert any(at < context.whole_at for at in context.got), "none before"
-    after = [at for at in context.got if at > context.whole_at]
+    assert any(
+        at < context.restored_at for at in context.arrived_at
+    ), "none before"
+    after = [at for at in context.arrived_at if at > context.restored_at]
     assert after, "none after"
-    assert after[0] - context.whole_at <= seconds, after[0] - context.whole_at
+    assert after[0] - context.restored_at <= seconds, (
+        after[0] - context.restored_at
+    )
 
 
-# --- streams that break, one way each ------------------------------------------
+# --- streams with one fault each -----------------------------------------------
 
 
 class PeerStream:
-    """Counts the messages of each stream; the first one breaks."""
+    """Records the messages of each stream; the first stream has the fault."""
 
     def __init__(self, fault: str):
         self.fault = fault
@@ -185,7 +191,7 @@
         self.streams = 0
 
     async def serve(self, requests, context):
-        """Take the messages of one stream as our server does, or break."""
+        """Serve one stream as `links.make_server` does, or with the fault."""
         self.streams += 1
         stream = self.streams
 
@@ -193,12 +199,12 @@
             self.arrived.append((stream, time.monotonic()))
 
         if stream == 1 and self.fault.startswith("handler"):
-            await self.break_handler(requests, on_peer, context)
+            await self.fail_handler(requests, on_peer, context)
         async for ack in links.acknowledge_messages(requests, on_peer, context):
             yield ack
 
-    async def break_handler(self, requests, on_peer, context):
-        """End the first stream on the side that reads it."""
+    async def fail_handler(self, requests, on_peer, context):
+        """End or block the first stream on the reading side."""
         async for _ in requests:
             on_peer()
             break
@@ -211,58 +217,58 @@
         await asyncio.Event().wait()
 
 
-class BrokenStream:
-    """A stream on the writing side that never works."""
+class FaultyStream:
+    """A stream that fails on the writing side."""
 
     def __init__(self, fault: str):
         self.fault = fault
 
     async def wait_for_connection(self) -> None:
-        """Connect, or never do."""
+        """Return at once, or never."""
         if self.fault == "connection is never made":
             await asyncio.Event().wait()
 
     async def write(self, _: bytes) -> None:
-        """Write, or never return."""
+        """Never return, or raise `CancelledError`."""
         if self.fault == "write is cancelled":
             raise asyncio.CancelledError
         await asyncio.Event().wait()
 
     async def read(self) -> bytes:
-        """Wait for a response that never comes."""
+        """Never return."""
         await asyncio.Event().wait()
 
     def cancel(self) -> None:
-        """Give the stream up, which changes nothing."""
+        """Do nothing."""
 
 
-class BrokenChannel:
-    """A channel whose streams never work."""
+class FaultyChannel:
+    """A channel whose streams all have the fault."""
 
     def __init__(self, fault: str):
         self.fault = fault
 
     def stream_stream(self, _: str):
-        """Return what opens a stream."""
-        return lambda metadata: BrokenStream(self.fault)
+        """Return a function that opens a stream."""
+        return lambda metadata: FaultyStream(self.fault)
 
     stream_unary = stream_stream
 
     async def close(self, _: float | None = None) -> None:
-        """Close, or never return."""
+        """Return at once, or never."""
         if "nor does close" in self.fault:
             await asyncio.Event().wait()
 
 
-def opener(fault: str):
-    """Return what opens channels, of which the first may be broken."""
+def channel_opener(fault: str):
+    """Return a function that opens channels; the first may have the fault."""
     opened = []
 
     def open_channel(address: str):
         opened.append(address)
-        broken = fault.startswith(("write", "connection"))
-        if broken and len(opened) == 1:
-            return BrokenChannel(fault)
+        is_faulty = fault.startswith(("write", "connection"))
+        if is_faulty and len(opened) == 1:
+            return FaultyChannel(fault)
         return channels.open_channel(address)
 
     return open_channel
@@ -278,8 +284,8 @@
     context.peer = PeerStream("")
 
 
-def with_peer_link(context, send) -> None:
-    """Run a server of the peer and a link to it."""
+def run_with_peer_link(context, send) -> None:
+    """Run the peer's server and a `PeerLink` to it."""
     peer = context.peer
 
     async def run():
@@ -294,12 +300,12 @@
         )
         port = server.add_insecure_port("127.0.0.1:0")
         await server.start()
-        context.began_at = time.monotonic()
+        context.started_at = time.monotonic()
         link = links.PeerLink(
             f"127.0.0.1:{port}",
             "r1",
             "127.0.0.1:1",
-            open_channel=opener(peer.fault),
+            open_channel=channel_opener(peer.fault),
         )
         await send(link)
         await asyncio.wait_for(link.close(), 5.0)
@@ -308,7 +314,7 @@
     asyncio.run(run())
 
 
-VOTE = peers.VoteReply(
+MESSAGE = peers.VoteReply(
     term=1, sender="r1", pre=False, granted=False, asked_term=1
 )
 
@@ -318,11 +324,11 @@
     async def send(link):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            link.send(VOTE)
+            link.send(MESSAGE)
             link.record_contact()
             await asyncio.sleep(0.05)
 
-    with_peer_link(context, send)
+    run_with_peer_link(context, send)
 
 
 @when(
@@ -332,23 +338,25 @@
 def sent_later(context, gap, seconds):
     async def send(link):
         for pause in (gap, seconds, gap, seconds):
-            link.send(VOTE)
+            link.send(MESSAGE)
             await asyncio.sleep(pause)
 
-    with_peer_link(context, send)
+    run_with_peer_link(context, send)
     assert len(context.peer.arrived) == 4, context.peer.arrived
 
 
-@then("messages arrive by a later stream within {seconds:g} s")
+@then("messages arrive on a later stream within {seconds:g} s")
 def later_stream(context, seconds):
     peer = context.peer
     first = 1 if peer.fault.startswith(("write", "connection")) else 2
     later = [at for stream, at in peer.arrived if stream >= first]
     assert later, f"{len(peer.arrived)} messages, {peer.streams} streams"
-    assert later[0] - context.began_at <= seconds, later[0] - context.began_at
+    assert later[0] - context.started_at <= seconds, (
+        later[0] - context.started_at
+    )
     assert len(later) >= 5, len(later)
 
 
-@then("all arrive by the first stream")
+@then("all arrive on the first stream")
 def first_stream_only(context):
     assert {stream for stream, _ in context.peer.arrived} == {1}
--- a/features/steps/listening_steps.py
+++ b/features/steps/listening_steps.py
@@ -1,4 +1,4 @@
-"""Steps on programs whose addresses others have taken."""
+"""Steps for programs whose listen addresses are in use."""
 
 import json
 import socket
@@ -11,23 +11,24 @@
 from _coltsfootroad.shell import settings as settings_lib
 from features.support import running
 
-DATAGRAMS = {"gateway": ("peer_listen",)}
+# Settings of each program whose address is bound by a UDP socket.
+UDP_SETTINGS = {"gateway": ("peer_listen",)}
 
 
-@given("another program listens at its {setting}")
+@given("another program listens on its {setting} address")
 def take_address(context, setting):
     path = context.folder / "settings.json"
     context.address = json.loads(path.read_text())[setting]
     program = context.command[2].rpartition(".")[2]
-    datagrams = setting in DATAGRAMS.get(program, ())
-    kind = socket.SOCK_DGRAM if datagrams else socket.SOCK_STREAM
-    holder = socket.socket(socket.AF_INET, kind)
-    # It would share the address with any program that is ready to.
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    holder.bind(settings_lib.split_address(context.address))
-    if not datagrams:
-        holder.listen()
-    context.add_cleanup(holder.close)
+    is_udp = setting in UDP_SETTINGS.get(program, ())
+    kind = socket.SOCK_DGRAM if is_udp else socket.SOCK_STREAM
+    other_socket = socket.socket(socket.AF_INET, kind)
+    # A program under test that sets this option too would share the address.
+    other_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    other_socket.bind(settings_lib.split_address(context.address))
+    if not is_udp:
+        other_socket.listen()
+    context.add_cleanup(other_socket.close)
 
 
 @when("it is started and ends")
@@ -42,12 +43,12 @@
     running.wait_until(
         lambda: context.process.poll() is not None, "it does not end"
     )
-    context.complaints = context.process.stderr.read()
+    context.error_output = context.process.stderr.read()
 
 
-@then("it complains of that address and of nothing else")
+@then("its error output is about that address only")
 def names_address(context):
-    lines = context.complaints.splitlines()
-    told = [line for line in lines if not line.startswith("{")]
-    assert f"cannot listen at {context.address}: " in told[-1], told
-    assert all(context.address in line for line in told), told
+    lines = context.error_output.splitlines()
+    messages = [line for line in lines if not line.startswith("{")]
+    assert f"cannot listen at {context.address}: " in messages[-1], messages
+    assert all(context.address in line for line in messages), messages
--- a/features/steps/ports_steps.py
+++ b/features/steps/ports_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the ports of programs under test."""
+"""Steps for the port allocation of programs under test."""
 
 from unittest import mock
 
@@ -8,12 +8,12 @@
 from _coltsfootroad.fakes import ports
 
 
-@when("{count:d} ports are handed out, few of them at a time, from {many:d}")
-def handed_out(context, count, many):
-    context.range = range(ports.LOWEST, ports.LOWEST + many)
+@when("{count:d} ports are allocated, few at a time, from a range of {size:d}")
+def allocate_ports(context, count, size):
+    context.range = range(ports.LOWEST, ports.LOWEST + size)
     context.ports = []
     with (
-        mock.patch.object(ports, "HIGHEST", ports.LOWEST + many),
+        mock.patch.object(ports, "HIGHEST", ports.LOWEST + size),
         mock.patch.object(ports, "HANDED_OUT", set()),
     ):
         while len(context.ports) < count:
@@ -26,7 +26,7 @@
     assert len(set(context.ports)) == len(context.ports), context.ports
 
 
-@then("each of them is one of the {many:d}")
-def in_range(context, many):
-    assert len(context.range) == many
+@then("each of them is one of the {size:d}")
+def in_range(context, size):
+    assert len(context.range) == size
     assert set(context.ports) <= set(context.range), context.ports
