--- a/src/_coltsfootroad/shell/channels.py
+++ b/src/_coltsfootroad/shell/channels.py
@@ -117,7 +117,7 @@
                 self.close_channel(address)
 
     def close_channel(self, address: str) -> None:
-        """Close a channel; the next call opens a new one.
+        """Close a channel that may be unresponsive; the next call opens one.
 
         Other calls in flight on it may continue for `CLOSE_GRACE_S`: a process
         that is slow to respond to one call may still respond to the others.
--- a/src/_coltsfootroad/shell/disk.py
+++ b/src/_coltsfootroad/shell/disk.py
@@ -324,7 +324,7 @@
 ) -> tuple[list[tuple[int, bytes]], int]:
     """Return the valid records of a log file and the offset of their end."""
     data = path.read_bytes()
-    found = []
+    records = []
     start = 0
     while start < len(data):
         record = record_at(data, start)
@@ -332,8 +332,8 @@
             refuse_corrupt_middle(path, data, start)
             break
         number, payload, start = record
-        found.append((number, payload))
-    return found, start
+        records.append((number, payload))
+    return records, start
 
 
 def refuse_corrupt_middle(path: pathlib.Path, data: bytes, start: int) -> None:
--- a/src/_coltsfootroad/shell/links.py
+++ b/src/_coltsfootroad/shell/links.py
@@ -76,9 +76,9 @@
     def __init__(self, addresses: tuple[str, ...]):
         self.addresses = list(addresses)
         self.channels = channels_lib.ChannelPool(wireformats.CALLS)
-        # Random, so that processes that start at the same time do not all call
-        # the same replica first.
-        self.next_index = random.randrange(len(addresses)) if addresses else 0
+        # The round robin starts at random, so that processes that start at the
+        # same time do not all call the same replica first.
+        self.cursor = random.randrange(len(addresses)) if addresses else 0
         self.leader = ""
 
     def add_addresses(self, addresses: tuple[str, ...]) -> None:
@@ -91,8 +91,8 @@
         """Return the leader's address, else that of the next replica."""
         if self.leader:
             return self.leader
-        self.next_index += 1
-        return self.addresses[self.next_index % len(self.addresses)]
+        self.cursor += 1
+        return self.addresses[self.cursor % len(self.addresses)]
 
     async def call(self, message, timeout_s):
         """Call replicas until a leader responds or the time-out expires."""
