--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -73,7 +73,7 @@
     """Return the leader's answer through one process, None without one."""
 
     async def run():
-        link = links.GrpcControlLink((address,))
+        link = links.GrpcControlClient((address,))
         end = time.monotonic() + seconds
         try:
             while time.monotonic() < end:
@@ -142,7 +142,7 @@
 @then("the relay names no leader and exits with status 0 when stopped")
 def check_without_leader(context):
     async def hello():
-        link = links.GrpcControlLink(tuple(context.relays))
+        link = links.GrpcControlClient(tuple(context.relays))
         answer = await link.call(messages.ReplicaHello(), 10.0)
         await link.close()
         return answer.ok
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -174,13 +174,13 @@
 
 def count_answers(answered, process):
     """Record the types of the requests that a process answers."""
-    original = process.desk.answer
+    original = process.watch_server.answer
 
     async def answer(request):
         answered.append((process.name, type(request)))
         return await original(request)
 
-    process.desk.answer = answer
+    process.watch_server.answer = answer
 
 
 @then("the leader has answered at most half as many watches as gateways sent")
--- a/features/support/crashworld.py
+++ b/features/support/crashworld.py
@@ -228,7 +228,7 @@
             state=state,
         )
         leader.coordinator.record_announcement(announcement, 8.0, self.now)
-        leader.desk.wake()
+        leader.watch_server.wake_watches()
 
     async def run_at(self, engine: Engine, body: bytes) -> None:
         """Run a request until it completes or crashes the engine."""
--- a/features/support/relayhistories.py
+++ b/features/support/relayhistories.py
@@ -15,7 +15,7 @@
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import registry
 from _coltsfootroad.core import relaychoice
-from _coltsfootroad.shell import watchdesk
+from _coltsfootroad.shell import watchserver
 from features.support import relayworld
 from features.support import virtualloop
 
@@ -251,7 +251,7 @@
 
 ORIGINAL_ON_WATCH = watchcache.WatchCache.on_watch
 ORIGINAL_APPLY_RESPONSE = watchcache.WatchCache.apply_response
-ORIGINAL_ANSWER = watchdesk.WatchDesk.answer_now
+ORIGINAL_ANSWER = watchserver.WatchServer.answer_now
 ORIGINAL_TAKE_OVER = coordinator_lib.Coordinator.take_over
 
 
@@ -311,7 +311,7 @@
         dates_proof_at_response,
     ),
     "relays answer watches of other relays": (
-        watchdesk.WatchDesk,
+        watchserver.WatchServer,
         "answer_now",
         answers_relays_from_cache,
     ),
--- a/features/support/relayworld.py
+++ b/features/support/relayworld.py
@@ -25,10 +25,10 @@
 from _coltsfootroad.core import registry
 from _coltsfootroad.gateway import watch as watch_lib
 from _coltsfootroad.shell import clocks
+from _coltsfootroad.shell import leaderpoller
 from _coltsfootroad.shell import links
-from _coltsfootroad.shell import relayloop
-from _coltsfootroad.shell import watchdesk
-from _coltsfootroad.shell import wirecalls
+from _coltsfootroad.shell import watchserver
+from _coltsfootroad.shell import wireformats
 from features.support import gatewaybed
 
 ZONES = ("za", "zb", "zc")
@@ -55,7 +55,7 @@
     # Coordinator of a term that ended while the process was frozen.
     former_coordinator: coordinator_lib.Coordinator | None = None
     watch_cache: watchcache.WatchCache = attrs.field(init=False)
-    desk: watchdesk.WatchDesk = attrs.field(init=False)
+    watch_server: watchserver.WatchServer = attrs.field(init=False)
 
     def start(self) -> None:
         """Start with empty state."""
@@ -69,24 +69,26 @@
             availability_zone=self.zone,
         )
         self.watch_cache = watchcache.WatchCache(relay)
-        self.desk = watchdesk.WatchDesk(self.watch_cache, self.ask_leader)
-        link = links.GrpcControlLink(tuple(self.world.replica_addresses()))
+        self.watch_server = watchserver.WatchServer(
+            self.watch_cache, self.answer_as_leader
+        )
+        link = links.GrpcControlClient(tuple(self.world.replica_addresses()))
         link.channels = SimulatedChannels(self.world, self.name, self.zone)
-        self.desk.relay = relayloop.RelayLoop(
+        self.watch_server.leader_poller = leaderpoller.LeaderPoller(
             self.watch_cache,
             link,
             lambda: self.coordinator is not None,
-            self.desk.wake,
+            self.watch_server.wake_watches,
             self.world.broken,
         )
-        self.desk.relay.start()
+        self.watch_server.leader_poller.start()
 
     def stop(self) -> None:
         """Stop at once, as in a crash."""
         self.up = False
         self.coordinator = self.former_coordinator = None
-        self.desk.relay.stop()
-        self.desk.wake()
+        self.watch_server.leader_poller.stop()
+        self.watch_server.wake_watches()
 
     def lead(self) -> None:
         """Become the leader, as `ControlNode.take_over` does."""
@@ -105,7 +107,7 @@
         self.coordinator.update_relay(
             self.watch_cache.relay, coordinator_lib.NEVER
         )
-        self.desk.wake()
+        self.watch_server.wake_watches()
 
     def step_down(self) -> None:
         """Stop leading; a frozen process learns of it when it runs again."""
@@ -126,7 +128,7 @@
     async def answer(self, message) -> object:
         """Answer a call from another process."""
         if isinstance(message, watching.Watch | watching.RelayWatch):
-            return await self.desk.answer(message)
+            return await self.watch_server.answer(message)
         if self.coordinator is None:
             return outcomes.NotLeader(hint=self.world.leader_address())
         if isinstance(message, crashreports.ReportCrashes):
@@ -139,7 +141,7 @@
             return self.coordinator.retry_lender.lend(message, self.world.now)
         return self.world.apply(message)
 
-    async def ask_leader(self, request) -> object:
+    async def answer_as_leader(self, request) -> object:
         """Answer as the leader, or return the leader's address."""
         if self.coordinator is None:
             return outcomes.NotLeader(hint=self.world.leader_address())
@@ -187,15 +189,15 @@
         if not target.up:
             return Error("unavailable")
         started = target.incarnation
-        decoded = wirecalls.CALLS.decode(wirecalls.CALLS.encode(message)).ok
+        decoded = wireformats.CALLS.decode(wireformats.CALLS.encode(message)).ok
         answer = await target.answer(decoded)
         await world.wait_until_unfrozen(target.name)
         if not target.up or target.incarnation != started:
             return Error("unavailable")
         await world.cross_network(target.name, self.name)
-        return Ok(wirecalls.CALLS.decode(wirecalls.CALLS.encode(answer)).ok)
+        return Ok(wireformats.CALLS.decode(wireformats.CALLS.encode(answer)).ok)
 
-    def forget(self, _address):
+    def close_channel(self, _address):
         """Do nothing; the simulation keeps no connections."""
 
     async def close(self):
@@ -241,7 +243,7 @@
         for process in self.processes.values():
             if process.coordinator is not None:
                 process.coordinator.publish_quarantine(self.now)
-                process.desk.wake()
+                process.watch_server.wake_watches()
         return answer
 
     def add_process(self, name, zone, can_lead) -> None:
@@ -327,7 +329,7 @@
         self.acked.append((self.now, version))
         for process in self.processes.values():
             if process.coordinator is not None:
-                process.desk.wake()
+                process.watch_server.wake_watches()
         return True
 
     def announce(self, name: str, state=registry.EndpointState.SERVING) -> None:
@@ -345,7 +347,7 @@
         )
         self.endpoints[name] = announcement
         leader.coordinator.record_announcement(announcement, 8.0, self.now)
-        leader.desk.wake()
+        leader.watch_server.wake_watches()
 
     def renew_endpoints(self) -> None:
         """Repeat the announcements of all endpoints."""
@@ -426,7 +428,7 @@
                     revision = process.coordinator.last_revision
                     process.coordinator.expire(self.now)
                     if process.coordinator.last_revision != revision:
-                        process.desk.wake()
+                        process.watch_server.wake_watches()
             if self.now >= renew_at:
                 renew_at = self.now + 1.2
                 self.renew_endpoints()
@@ -461,6 +463,6 @@
         """Cancel all tasks."""
         for process in self.processes.values():
             if process.up:
-                process.desk.relay.stop()
+                process.watch_server.leader_poller.stop()
         for gateway in self.gateways.values():
             gateway.watch.task.cancel()
--- a/src/_coltsfootroad/gateway/server.py
+++ b/src/_coltsfootroad/gateway/server.py
@@ -169,7 +169,7 @@
             await asyncio.sleep(TICK_INTERVAL_S)
             self.load.expire(clocks.boot_time())
             self.gossip.refresh()
-            traffic.PROCESS.log(clocks.boot_time())
+            traffic.PROCESS.log_if_due(clocks.boot_time())
 
     async def drain(self) -> None:
         """Stop advertising the gateway, finish requests, and stop in time."""
--- a/src/_coltsfootroad/gateway/upstream.py
+++ b/src/_coltsfootroad/gateway/upstream.py
@@ -106,7 +106,7 @@
 
     def data_received(self, chunk):
         """Receive a chunk of the body."""
-        traffic.received(RESPONSE_KIND, len(chunk))
+        traffic.count_received(RESPONSE_KIND, len(chunk))
         return None if self.aborted else self.sink.on_data(chunk)
 
     def finish(self):
@@ -202,7 +202,7 @@
                 start, request.headers, request.body
             )
             written.add_done_callback(consume_exception)
-            traffic.sent(REQUEST_KIND, len(request.body))
+            traffic.count_sent(REQUEST_KIND, len(request.body))
             connection.finish()
             stream.set_nodelay(True)
             await connection.read_response(reader)
--- a/src/_coltsfootroad/gateway/watch.py
+++ b/src/_coltsfootroad/gateway/watch.py
@@ -40,7 +40,7 @@
 POLL_ERROR_LOG_LIMIT = logs.LineLimit(5, 10.0)
 # The gateway's part of the control protocol; leaving out the other messages
 # shortens the start.
-MESSAGES = wire.Wire.of(
+MESSAGES = wire.WireFormat.of(
     watching.Watch,
     watching.News,
     watching.AskElsewhere,
@@ -62,7 +62,7 @@
     def __init__(self, gateway):
         self.gateway = gateway
         settings = gateway.settings
-        self.channels = channels_lib.Channels(MESSAGES)
+        self.channels = channels_lib.ChannelPool(MESSAGES)
         self.choice = relaychoice.RelayChoice(
             gateway=settings.gateway,
             zone=settings.availability_zone,
