--- a/features/soak/fleet.py
+++ b/features/soak/fleet.py
@@ -17,7 +17,7 @@
 from _coltsfootroad.fakes import ports as ports_lib
 from features.soak import audit
 from features.soak import proxy as proxy_lib
-from features.support import running
+from features.support import processstate
 
 LAUNCHER = pathlib.Path(__file__).with_name("launch.py")
 TOKEN = "soak-token"
@@ -66,7 +66,9 @@
         began = time.monotonic()
         disposition = "already gone"
         if self.is_running:
-            disposition = running.disposition(self.process.pid, signal.SIGTERM)
+            disposition = processstate.disposition(
+                self.process.pid, signal.SIGTERM
+            )
         self.signal(signal.SIGTERM)
         while self.is_running and time.monotonic() < began + STOP_WAIT_S:
             await asyncio.sleep(0.05)
--- a/features/steps/early_steps.py
+++ b/features/steps/early_steps.py
@@ -8,7 +8,7 @@
 from behave import when
 
 from _coltsfootroad.fakes import ports
-from _coltsfootroad.shell import early
+from _coltsfootroad.shell import earlylistener
 from _coltsfootroad.shell import metrics
 
 FLAG = "--settings"
@@ -30,7 +30,7 @@
 
 @when("a caller connects before the program's loop runs")
 def connects(context):
-    early.listen(context.arguments)
+    earlylistener.listen(context.arguments)
     host, port = context.address.split(":")
     context.caller = socket.create_connection((host, int(port)), timeout=2)
     context.caller.sendall(b"hello")
@@ -38,11 +38,11 @@
 
 @then("the program takes the connection over at the same address")
 def takes_over(context):
-    listener = early.take(context.address)
+    listener = earlylistener.take_listener(context.address)
     listener.setblocking(True)
     connection, _ = listener.accept()
     assert connection.recv(5) == b"hello"
-    assert context.address not in early.opened
+    assert context.address not in earlylistener.listeners
     for found in (connection, listener, context.caller):
         found.close()
 
@@ -59,7 +59,7 @@
     elif fault == "an address that is none":
         settings["listen"] = "nowhere"
     elif fault == "an address in use":
-        context.taken = early.bound(address)
+        context.taken = earlylistener.open_listener(address)
     content = json.dumps(settings)
     if fault == "half a file":
         content = content[:10]
@@ -70,10 +70,10 @@
 
 @then("opening the listener early changes nothing")
 def nothing(context):
-    early.listen(context.arguments)
-    early.listen(["program", FLAG])
-    early.listen(["program"])
-    assert early.opened == {}, early.opened
+    earlylistener.listen(context.arguments)
+    earlylistener.listen(["program", FLAG])
+    earlylistener.listen(["program"])
+    assert earlylistener.listeners == {}, earlylistener.listeners
     if context.taken is not None:
         context.taken.close()
 
--- a/features/steps/fenced_steps.py
+++ b/features/steps/fenced_steps.py
@@ -14,7 +14,7 @@
 from _coltsfootroad.core import config as config_lib
 from _coltsfootroad.core import entry as entry_lib
 from _coltsfootroad.core import servicekind
-from _coltsfootroad.shell import callers
+from _coltsfootroad.shell import entryapi
 from _coltsfootroad.shell import web
 
 KEY = "secret"
@@ -51,7 +51,7 @@
         loop = asyncio.get_running_loop()
         core = core_of(loop.time(), context.age_s)
         server = types.SimpleNamespace(core=core, loop=loop)
-        app = tornado.web.Application(callers.routes(server))
+        app = tornado.web.Application(entryapi.routes(server))
         listener = app.listen(0, "127.0.0.1")
         (socket,) = listener._sockets.values()
         name = "nobodys" if fault == "an unknown service" else SERVICE
--- a/features/steps/listening_steps.py
+++ b/features/steps/listening_steps.py
@@ -9,7 +9,7 @@
 from behave import when
 
 from _coltsfootroad.shell import settings as settings_lib
-from features.support import running
+from features.support import processstate
 
 DATAGRAMS = {"gateway": ("peer_listen",)}
 
@@ -39,7 +39,7 @@
         text=True,
     )
     context.add_cleanup(context.process.stderr.close)
-    running.wait_until(
+    processstate.wait_until(
         lambda: context.process.poll() is not None, "it does not end"
     )
     context.complaints = context.process.stderr.read()
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -15,7 +15,7 @@
 from _coltsfootroad.shell import links
 from features.soak import fleet as fleet_lib
 from features.support import gatewaybed
-from features.support import running
+from features.support import processstate
 
 TOKEN = "soak-token"
 SEEDS = 3
@@ -128,7 +128,7 @@
 def shown(context):
     for address in context.relays:
         at = context.admin[address]
-        running.wait_until(
+        processstate.wait_until(
             lambda at=at: metric(at, VERSION) == len(context.addresses),
             "the metrics do not show the version",
         )
--- a/features/steps/signals_steps.py
+++ b/features/steps/signals_steps.py
@@ -13,7 +13,7 @@
 
 from _coltsfootroad.fakes import launching
 from _coltsfootroad.fakes import ports
-from features.support import running
+from features.support import processstate
 from features.support import signalmodes
 
 SENDING_S = 2.5
@@ -77,8 +77,8 @@
 
 def wait_until_prepared(process, number=signal.SIGHUP) -> None:
     """Wait until the interpreter has run the program's first lines."""
-    running.wait_until(
-        lambda: running.bears(process.pid, number),
+    processstate.wait_until(
+        lambda: processstate.survives(process.pid, number),
         f"{number.name} would end the program",
     )
 
@@ -86,7 +86,7 @@
 def runs(process) -> bool:
     """Return whether a program has loaded what it needs, or has ended."""
     ended = process.poll() is not None
-    return ended or running.has_loaded(process.pid)
+    return ended or processstate.has_loaded(process.pid)
 
 
 @when("it is started and gets {number} without pause from its first moments on")
@@ -102,7 +102,7 @@
         process.send_signal(number)
         return runs(process)
 
-    running.wait_until(sent_until_it_runs, "the program does not run")
+    processstate.wait_until(sent_until_it_runs, "the program does not run")
     end = time.monotonic() + SENDING_S
     while time.monotonic() < end and process.poll() is None:
         process.send_signal(number)
@@ -136,7 +136,7 @@
     )
     process = context.process
     wait_until_prepared(process, signal.SIGTERM)
-    assert not running.has_loaded(process.pid)
+    assert not processstate.has_loaded(process.pid)
     process.send_signal(signal.SIGTERM)
     _, context.errors = process.communicate(timeout=STOP_S)
 
@@ -153,7 +153,7 @@
     )
     wait_until_prepared(context.process)
     # Before it runs, the signal ends it at once, which is no harm.
-    running.wait_until(lambda: runs(context.process), "it does not run")
+    processstate.wait_until(lambda: runs(context.process), "it does not run")
     time.sleep(SENDING_S)
     end = time.monotonic() + STOP_S
     while time.monotonic() < end and context.process.poll() is None:
@@ -179,7 +179,7 @@
     )
     process = context.process
     wait_until_prepared(process)
-    running.wait_until(lambda: runs(process), "it does not run")
+    processstate.wait_until(lambda: runs(process), "it does not run")
     process.send_signal(signal.Signals[first])
     end = time.monotonic() + STOP_S
     sent = 0
@@ -290,7 +290,7 @@
 @then("it serves until it is stopped")
 def serves_until_stopped(context):
     process = context.process
-    running.wait_until(lambda: runs(process), "it does not run")
+    processstate.wait_until(lambda: runs(process), "it does not run")
     assert process.poll() is None, process.returncode
     process.send_signal(signal.SIGTERM)
     process.communicate(timeout=STOP_S)
@@ -377,7 +377,7 @@
     process = context.process
     context.add_cleanup(reap, process)
     if context.fault == "nothing wrong":
-        running.wait_until(lambda: runs(process), "it does not run")
+        processstate.wait_until(lambda: runs(process), "it does not run")
         process.send_signal(signal.SIGTERM)
     process.wait(STOP_S)
 
@@ -390,12 +390,12 @@
     context.process = process
     context.add_cleanup(reap, process)
     if moment == "while it waits":
-        listener.settimeout(running.START_S)
+        listener.settimeout(processstate.MAX_START_S)
         connection, _ = listener.accept()
         context.add_cleanup(connection.close)
     else:
-        running.wait_until(
-            lambda: not running.bears(process.pid, signal.SIGTERM),
+        processstate.wait_until(
+            lambda: not processstate.survives(process.pid, signal.SIGTERM),
             "it blocks signals",
         )
     process.send_signal(signal.Signals[number])
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -21,7 +21,7 @@
 from features.soak import run
 from features.soak import timeline
 from features.support import machineload
-from features.support import running
+from features.support import processstate
 
 REPLICAS = 3
 # Enough for two replacements and two wipes after them.
@@ -144,8 +144,10 @@
     context.program.start()
     context.add_cleanup(context.program.kill)
     if does != "has not run any code":
-        running.wait_until(
-            lambda: running.acts(context.program.process.pid, signal.SIGHUP),
+        processstate.wait_until(
+            lambda: processstate.handles_immediately(
+                context.program.process.pid, signal.SIGHUP
+            ),
             "the program does not handle SIGHUP",
         )
 
@@ -164,7 +166,7 @@
     if runs == "runs":
         assert context.program.is_running
     else:
-        running.wait_until(
+        processstate.wait_until(
             lambda: not context.program.is_running, "it goes on running"
         )
 
--- a/features/steps/timers_steps.py
+++ b/features/steps/timers_steps.py
@@ -18,7 +18,7 @@
 from _coltsfootroad.shell import settings as settings_lib
 from _coltsfootroad.shell import wirecalls
 from features.soak import fleet as fleet_lib
-from features.support import running
+from features.support import processstate
 
 DOWN_S = 0.3
 WATCH_S = 4.0
@@ -196,8 +196,8 @@
     """Wait until all replicas have loaded their libraries."""
     pids = [program.process.pid for program in fleet.replicas]
     await asyncio.to_thread(
-        running.wait_until,
-        lambda: all(running.has_loaded(pid) for pid in pids),
+        processstate.wait_until,
+        lambda: all(processstate.has_loaded(pid) for pid in pids),
         "the replicas do not run",
     )
 
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -497,7 +497,7 @@
 
 @when("a request comes with header {header} set to {value}")
 def with_header(context, header, value):
-    context.result = parsing.read_terms({header: value})
+    context.result = parsing.parse_options({header: value})
 
 
 @when("a prompt comes with body {body}")
@@ -511,7 +511,7 @@
             parsed.ok,
             body.encode(),
             False,
-            parsing.Terms(),
+            parsing.RequestOptions(),
             caller,
             config_lib.Service(),
             4.0,
--- a/features/support/running.py
+++ b/features/support/processstate.py
@@ -9,8 +9,8 @@
 import time
 
 # Longest that a program may take to load its libraries, on a slow machine.
-START_S = 30.0
-LOOK_EVERY_S = 0.002
+MAX_START_S = 30.0
+POLL_INTERVAL_S = 0.002
 # Fields of a process's status, each a mask of signals.
 DEFAULT_ACTION = "with the default action"
 DISPOSITIONS = {
@@ -20,7 +20,7 @@
 }
 
 
-def masks(pid: int) -> dict[str, int]:
+def signal_masks(pid: int) -> dict[str, int]:
     """Return the signal masks that the system shows of a process."""
     status = pathlib.Path(f"/proc/{pid}/status").read_text()
     lines = dict(line.split(":\t", 1) for line in status.splitlines())
@@ -31,26 +31,28 @@
 
 def handles(pid: int, number: signal.Signals) -> bool:
     """Return whether a process handles a signal, which programs do late."""
-    return bool(masks(pid).get("SigCgt", 0) & bit(number))
+    return bool(signal_masks(pid).get("SigCgt", 0) & mask_bit(number))
 
 
-def acts(pid: int, number: signal.Signals) -> bool:
+def handles_immediately(pid: int, number: signal.Signals) -> bool:
     """Return whether a process runs its handler as soon as a signal comes."""
-    found = masks(pid)
-    is_blocked = found.get("SigBlk", 0) & bit(number)
+    masks = signal_masks(pid)
+    is_blocked = masks.get("SigBlk", 0) & mask_bit(number)
     return handles(pid, number) and not is_blocked
 
 
-def bears(pid: int, number: signal.Signals) -> bool:
+def survives(pid: int, number: signal.Signals) -> bool:
     """Return whether a signal would not end a process by accident."""
     return disposition(pid, number) != DEFAULT_ACTION
 
 
 def disposition(pid: int, number: signal.Signals) -> str:
     """Return what a signal would do to a process now."""
-    found = masks(pid)
+    masks = signal_masks(pid)
     words = [
-        DISPOSITIONS[name] for name, mask in found.items() if mask & bit(number)
+        DISPOSITIONS[name]
+        for name, mask in masks.items()
+        if mask & mask_bit(number)
     ]
     return f"{number.name} {' and '.join(words)}" if words else DEFAULT_ACTION
 
@@ -63,16 +65,16 @@
     return handles(pid, signal.SIGUSR1)
 
 
-def bit(number: signal.Signals) -> int:
+def mask_bit(number: signal.Signals) -> int:
     """Return the bit of a signal in a mask."""
     return 1 << (number - 1)
 
 
 def wait_until(check, what: str) -> None:
     """Wait until a check holds; raises AssertionError if it never does."""
-    end = time.monotonic() + START_S
+    end = time.monotonic() + MAX_START_S
     while time.monotonic() < end:
         if check():
             return
-        time.sleep(LOOK_EVERY_S)
+        time.sleep(POLL_INTERVAL_S)
     raise AssertionError(f"waited in vain: {what}")
--- a/src/_coltsfootroad/commands/__init__.py
+++ b/src/_coltsfootroad/commands/__init__.py
@@ -8,7 +8,7 @@
 startsignals.install(sys.argv)
 
 from _coltsfootroad.shell import clocks as clocks  # noqa: E402
-from _coltsfootroad.shell import early  # noqa: E402
+from _coltsfootroad.shell import earlylistener  # noqa: E402
 
 # Before the libraries are imported, which takes most of a program's start.
-early.listen(sys.argv)
+earlylistener.listen(sys.argv)
--- a/src/_coltsfootroad/commands/control.py
+++ b/src/_coltsfootroad/commands/control.py
@@ -61,7 +61,7 @@
 ) -> int:
     """Run a replica until it is told to stop."""
     server = build(settings)
-    if settings.begins_system():
+    if settings.bootstraps_system():
         server.bootstrap()
     elif bootstrap and not server.bootstrap():
         common.complain(
--- a/src/_coltsfootroad/commands/entry.py
+++ b/src/_coltsfootroad/commands/entry.py
@@ -41,7 +41,7 @@
         server = build(settings)
         await server.start()
         if not await common.wait_for_stop(
-            [server.broken], server.dump, server.asked_to_stop
+            [server.broken], server.dump, server.stop_requested
         ):
             return common.EXIT_FAILED
         await server.drain()
--- a/src/_coltsfootroad/fakes/launching.py
+++ b/src/_coltsfootroad/fakes/launching.py
@@ -16,7 +16,9 @@
 @contextlib.contextmanager
 def blocked_signals() -> Iterator[None]:
     """Block, in this thread, the signals that programs handle."""
-    before = signal.pthread_sigmask(signal.SIG_BLOCK, startsignals.HANDLED)
+    before = signal.pthread_sigmask(
+        signal.SIG_BLOCK, startsignals.HANDLED_SIGNALS
+    )
     try:
         yield
     finally:
--- a/src/_coltsfootroad/gateway/front.py
+++ b/src/_coltsfootroad/gateway/front.py
@@ -12,7 +12,7 @@
 from _coltsfootroad.gateway import exchange as exchange_lib
 from _coltsfootroad.gateway import sockets
 from _coltsfootroad.shell import clocks
-from _coltsfootroad.shell import early
+from _coltsfootroad.shell import earlylistener
 from _coltsfootroad.shell import listening
 from _coltsfootroad.shell import logs
 
@@ -125,7 +125,7 @@
             idle_connection_timeout=limits.idle_timeout_s + IDLE_MARGIN_S,
         )
         with listening.at(address):
-            self.server.add_sockets([early.take(address)])
+            self.server.add_sockets([earlylistener.take_listener(address)])
 
     def apply(self, limits: routes.CallerLimits) -> None:
         """Put a version's limits in force for new connections."""
--- a/src/_coltsfootroad/gateway/server.py
+++ b/src/_coltsfootroad/gateway/server.py
@@ -388,7 +388,7 @@
             "Requests that are in quarantine",
             lambda: len(self.quarantine.view.entries),
         )
-        self.metrics.counter_by(
+        self.metrics.labelled_counter(
             "colts_gateway_quarantine_refusals",
             "Requests refused as they are in quarantine, by workspace",
             "workspace",
@@ -411,7 +411,7 @@
             "refused": "colts_gateway_retries_refused",
         }
         for field, text in texts.items():
-            self.metrics.counter_by(
+            self.metrics.labelled_counter(
                 names[field],
                 f"{text}, by service",
                 "service",
--- a/src/_coltsfootroad/gateway/watch.py
+++ b/src/_coltsfootroad/gateway/watch.py
@@ -35,7 +35,7 @@
 MIN_PAUSE_S = 0.02
 FAILURE_PAUSE_S = 0.1
 # A fault comes again with each answer until a later version mends it.
-FAULTS = logs.LineLimit(5, 10.0)
+FAULTS = logs.LogRateLimit(5, 10.0)
 # A gateway needs no more of what the control state speaks, and starts sooner
 # without the rest.
 MESSAGES = wire.Wire.of(
--- a/src/_coltsfootroad/shell/clocks.py
+++ b/src/_coltsfootroad/shell/clocks.py
@@ -20,4 +20,4 @@
 # When this process began, about: programs import this module before the
 # libraries, which take most of a second. Whatever an earlier process promised
 # was promised before.
-PROCESS_STARTED = boot_time()
+PROCESS_STARTED_AT = boot_time()
--- a/src/_coltsfootroad/shell/commandline.py
+++ b/src/_coltsfootroad/shell/commandline.py
@@ -8,9 +8,9 @@
 SETTINGS_FLAG = "--settings"
 MODULE_FLAG = "-m"
 # Programs that carry out one command and end.
-ONE_SHOT = ("ctl", "replay")
-PREFIX = "colts-"
-SUFFIX = ".py"
+ONE_SHOT_PROGRAMS = ("ctl", "replay")
+PROGRAM_PREFIX = "colts-"
+SCRIPT_SUFFIX = ".py"
 
 
 def has_settings(arguments: list[str]) -> bool:
@@ -45,7 +45,7 @@
         module = words[words.index(MODULE_FLAG) + 1]
         return module.rpartition(".")[2]
     script = first.rpartition("/")[2]
-    return script.removesuffix(SUFFIX).removeprefix(PREFIX)
+    return script.removesuffix(SCRIPT_SUFFIX).removeprefix(PROGRAM_PREFIX)
 
 
 def is_server(
@@ -53,4 +53,4 @@
 ) -> bool:
     """Return whether a command line starts a program that serves."""
     name = program_name(arguments, interpreter_arguments)
-    return has_settings(arguments) and name not in ONE_SHOT
+    return has_settings(arguments) and name not in ONE_SHOT_PROGRAMS
--- a/src/_coltsfootroad/shell/controlserver.py
+++ b/src/_coltsfootroad/shell/controlserver.py
@@ -77,7 +77,7 @@
             send=self.send,
             wall=time.time,
             rng=random.Random(),
-            started_at=clocks.PROCESS_STARTED,
+            started_at=clocks.PROCESS_STARTED_AT,
             membership=membership_lib.Membership(settings.required_voters),
             mirror=mirror_lib.Mirror(relay_of(settings)),
         )
@@ -196,7 +196,7 @@
 
     async def stands_first(self) -> bool:
         """Return whether the seeds before this one cannot begin the system."""
-        before = self.settings.seeds_before()
+        before = self.settings.preceding_seeds()
         if before is None:
             return False
         for address in before:
--- a/src/_coltsfootroad/shell/dumps.py
+++ b/src/_coltsfootroad/shell/dumps.py
@@ -11,7 +11,7 @@
 SECRET_NAMES = ("admin_token", "endpoint_token", "key_sha256", "payload")
 
 
-def plain(value: object, depth: int = 0) -> object:
+def to_plain(value: object, depth: int = 0) -> object:
     """Return a value as plain JSON, cut where it would grow large."""
     if depth > MAX_DEPTH:
         return "..."
@@ -24,19 +24,19 @@
     if isinstance(value, str):
         return value[:MAX_TEXT]
     if attrs.has(type(value)):
-        return plain_attrs(value, depth)
+        return attrs_to_plain(value, depth)
     if isinstance(value, dict):
         items = list(value.items())[:MAX_ITEMS]
-        return {str(k): plain(v, depth + 1) for k, v in items}
+        return {str(k): to_plain(v, depth + 1) for k, v in items}
     if isinstance(value, (list, tuple, set, frozenset)):
-        return [plain(v, depth + 1) for v in list(value)[:MAX_ITEMS]]
+        return [to_plain(v, depth + 1) for v in list(value)[:MAX_ITEMS]]
     return type(value).__name__
 
 
-def plain_attrs(value: object, depth: int) -> dict:
+def attrs_to_plain(value: object, depth: int) -> dict:
     """Return an attrs object as a map, without secrets and back links."""
     return {
-        field.name: plain(getattr(value, field.name), depth + 1)
+        field.name: to_plain(getattr(value, field.name), depth + 1)
         for field in attrs.fields(type(value))
         if field.name not in SECRET_NAMES and field.name != "core"
     }
@@ -44,4 +44,4 @@
 
 def to_json(value: object) -> bytes:
     """Return the dump of a value."""
-    return json.dumps(plain(value), indent=1).encode()
+    return json.dumps(to_plain(value), indent=1).encode()
--- a/src/_coltsfootroad/shell/early.py
+++ b/src/_coltsfootroad/shell/earlylistener.py
@@ -15,12 +15,12 @@
 from _coltsfootroad.shell import commandline
 
 # Name of the setting that asks for this, and of the one with the address.
-ASKED = "listen_early"
-ADDRESS = "listen"
+ENABLED_KEY = "listen_early"
+ADDRESS_KEY = "listen"
 # Connections that may wait; more than callers open while a program starts.
 BACKLOG = 1_024
 
-opened: dict[str, socket.socket] = {}
+listeners: dict[str, socket.socket] = {}
 
 
 def listen(arguments: list[str]) -> None:
@@ -29,29 +29,29 @@
         path = commandline.settings_path(arguments)
         with open(path, encoding="utf-8") as file:
             settings = json.load(file)
-        if settings.get(ASKED) is True:
-            address = settings[ADDRESS]
-            opened[address] = bound(address)
+        if settings.get(ENABLED_KEY) is True:
+            address = settings[ADDRESS_KEY]
+            listeners[address] = open_listener(address)
     except (OSError, ValueError, LookupError, AttributeError, TypeError):
         # The settings are read again, by what explains each fault.
         return
 
 
-def bound(address: str) -> socket.socket:
+def open_listener(address: str) -> socket.socket:
     """Return a socket that listens at `ip:port`; raises OSError."""
     host, _, port = address.rpartition(":")
-    found = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        found.setblocking(False)
-        found.bind((host, int(port)))
-        found.listen(BACKLOG)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.setblocking(False)
+        listener.bind((host, int(port)))
+        listener.listen(BACKLOG)
     except (OSError, ValueError):
-        found.close()
+        listener.close()
         raise
-    return found
+    return listener
 
 
-def take(address: str) -> socket.socket:
+def take_listener(address: str) -> socket.socket:
     """Return the listening socket of an address, open already or new."""
-    return opened.pop(address, None) or bound(address)
+    return listeners.pop(address, None) or open_listener(address)
--- a/src/_coltsfootroad/shell/endpointclient.py
+++ b/src/_coltsfootroad/shell/endpointclient.py
@@ -20,7 +20,7 @@
 OnChunk = Callable[[request_lib.Chunk], None]
 
 CONNECT_TIMEOUT_S = 2.0
-CONTROL_TIMEOUT_S = 3.0
+MANAGEMENT_TIMEOUT_S = 3.0
 RAN_HEADER = "X-Ran"
 GENERATE_PATH = "/v1/generate"
 CANCEL_PATH = "/v1/cancel"
@@ -29,7 +29,7 @@
 EXPORT_PATH = "/v1/kv/export"
 IMPORT_PATH = "/v1/kv/import"
 # The only curl outcomes before a first byte can have been written.
-NOT_SENT_CODES = (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
+NOT_SENT_CURL_ERRORS = (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
 
 
 @attrs.frozen(kw_only=True)
@@ -65,14 +65,14 @@
         part: actions.Part,
         owner: str,
         resume_text: str,
-        left_s: float,
+        remaining_s: float,
         on_chunk: OnChunk,
     ) -> Fault | None:
         """Run one part of an attempt; None once its stream has ended."""
 
     @abc.abstractmethod
     async def call(
-        self, address: str, dispatch: actions.Dispatch, left_s: float
+        self, address: str, dispatch: actions.Dispatch, remaining_s: float
     ) -> Result[request_lib.Answer, Fault]:
         """Make one call of a plain service."""
 
@@ -115,33 +115,35 @@
         )
 
     async def generate(
-        self, address, dispatch, part, owner, resume_text, left_s, on_chunk
+        self, address, dispatch, part, owner, resume_text, remaining_s, on_chunk
     ):
         """Stream one part from an engine."""
         reader = EventReader(on_chunk)
-        document = generate_document(dispatch, part, owner, resume_text, left_s)
+        document = generate_document(
+            dispatch, part, owner, resume_text, remaining_s
+        )
         request = tornado.httpclient.HTTPRequest(
             f"http://{address}{GENERATE_PATH}",
             method="POST",
             body=json.dumps(document),
             headers={"Content-Type": "application/json"},
-            connect_timeout=min(CONNECT_TIMEOUT_S, left_s),
-            request_timeout=left_s,
+            connect_timeout=min(CONNECT_TIMEOUT_S, remaining_s),
+            request_timeout=remaining_s,
             streaming_callback=reader.feed,
             follow_redirects=False,
-            prepare_curl_callback=curl_options(dispatch.request),
+            prepare_curl_callback=forbid_curl_resends(dispatch.request),
         )
         try:
             response = await self.client.fetch(request, raise_error=False)
         except tornado.httpclient.HTTPError as error:
-            return fault_of(error)
+            return classify_error(error)
         if response.error is not None and response.code == 599:
-            return fault_of(response.error)
+            return classify_error(response.error)
         if response.code != 200:
-            return fault_of_status(response)
+            return classify_status(response)
         return None if reader.ended else Fault.LOST
 
-    async def call(self, address, dispatch, left_s):
+    async def call(self, address, dispatch, remaining_s):
         """Forward a caller's HTTP request."""
         call = dispatch.request.payload
         request = tornado.httpclient.HTTPRequest(
@@ -151,18 +153,18 @@
             if call.body or call.method in BODY_METHODS
             else None,
             headers=call.headers,
-            connect_timeout=min(CONNECT_TIMEOUT_S, left_s),
-            request_timeout=left_s,
+            connect_timeout=min(CONNECT_TIMEOUT_S, remaining_s),
+            request_timeout=remaining_s,
             follow_redirects=False,
             allow_nonstandard_methods=True,
-            prepare_curl_callback=curl_options(dispatch.request),
+            prepare_curl_callback=forbid_curl_resends(dispatch.request),
         )
         try:
             response = await self.client.fetch(request, raise_error=False)
         except tornado.httpclient.HTTPError as error:
-            return Error(fault_of(error))
+            return Error(classify_error(error))
         if response.code == 599:
-            return Error(fault_of(response.error))
+            return Error(classify_error(response.error))
         if response.headers.get(RAN_HEADER) == "no":
             return Error(Fault.NOT_RUN)
         content_type = response.headers.get(
@@ -184,7 +186,7 @@
             body=json.dumps(document),
             headers={"Content-Type": "application/json"},
             connect_timeout=CONNECT_TIMEOUT_S,
-            request_timeout=CONTROL_TIMEOUT_S,
+            request_timeout=MANAGEMENT_TIMEOUT_S,
         )
         try:
             response = await self.client.fetch(request, raise_error=False)
@@ -237,7 +239,7 @@
 BODY_METHODS = ("POST", "PUT", "PATCH")
 
 
-def generate_document(dispatch, part, owner, resume_text, left_s) -> dict:
+def generate_document(dispatch, part, owner, resume_text, remaining_s) -> dict:
     """Return the JSON that asks an engine for one part of an attempt."""
     request = dispatch.request
     return {
@@ -248,8 +250,8 @@
         "part": part.index,
         "parts": len(dispatch.parts),
         "priority": dispatch.priority,
-        "deadline_s": left_s,
-        "prompt_tokens": whole_part_tokens(dispatch, part),
+        "deadline_s": remaining_s,
+        "prompt_tokens": part_prompt_tokens(dispatch, part),
         "kv_tokens": part.kv_tokens,
         "max_tokens": request.output_tokens,
         "resume_offset": dispatch.resume_offset,
@@ -259,14 +261,14 @@
     }
 
 
-def whole_part_tokens(dispatch, part) -> int:
+def part_prompt_tokens(dispatch, part) -> int:
     """Return the tokens of a part; what is cached the engine knows best."""
     if len(dispatch.parts) == 1:
         return dispatch.request.prompt_tokens
     return part.prompt_tokens
 
 
-def curl_options(request: request_lib.Request):
+def forbid_curl_resends(request: request_lib.Request):
     """Return a callback that keeps libcurl from sending anything twice.
 
     On a kept connection that turns out dead, libcurl sends the request once
@@ -283,14 +285,14 @@
     return prepare
 
 
-def fault_of(error: Exception) -> Fault:
+def classify_error(error: Exception) -> Fault:
     """Return what a failed exchange proves."""
-    if getattr(error, "errno", None) in NOT_SENT_CODES:
+    if getattr(error, "errno", None) in NOT_SENT_CURL_ERRORS:
         return Fault.NOT_SENT
     return Fault.LOST
 
 
-def fault_of_status(response) -> Fault:
+def classify_status(response) -> Fault:
     """Return what a refusal by status proves."""
     if response.headers.get(RAN_HEADER) == "no":
         return Fault.NOT_RUN
@@ -302,17 +304,17 @@
 
     def __init__(self, on_chunk: OnChunk):
         self.on_chunk = on_chunk
-        self.pending = b""
+        self.buffer = b""
         self.ended = False
 
     def feed(self, data: bytes) -> None:
         """Take bytes as they arrive."""
-        self.pending += data
-        while b"\n\n" in self.pending:
-            event, self.pending = self.pending.split(b"\n\n", 1)
-            self.take_event(event)
+        self.buffer += data
+        while b"\n\n" in self.buffer:
+            event, self.buffer = self.buffer.split(b"\n\n", 1)
+            self.parse_event(event)
 
-    def take_event(self, event: bytes) -> None:
+    def parse_event(self, event: bytes) -> None:
         """Hand on the chunk in an event; others are passed over."""
         if not event.startswith(b"data: "):
             return
--- a/src/_coltsfootroad/shell/callers.py
+++ b/src/_coltsfootroad/shell/entryapi.py
@@ -39,16 +39,16 @@
     def on_connection_close(self):
         """Tell the core that nobody waits any more."""
         if self.request_id:
-            self.server.caller_left(self.request_id)
+            self.server.close_channel(self.request_id)
 
-    def find_caller(self) -> parsing.Caller | None:
+    def authenticate_caller(self) -> parsing.Caller | None:
         """Return who asks, by API key; None after having refused.
 
         An outdated configuration refuses nobody for good: keys and services
         that it lacks may exist by now.
         """
         if not self.core.freshness.is_current(self.now()):
-            self.refuse(
+            self.fail_with_addresses(
                 errors.Failure(
                     errors.ErrorCode.ENTRY_FENCED,
                     "this entry has no current configuration",
@@ -56,10 +56,10 @@
                 )
             )
             return None
-        hashed = web.hash_key(self.bearer())
+        hashed = web.hash_key(self.bearer_token())
         for name, workspace in self.core.config.workspaces.items():
             for known in workspace.key_sha256:
-                if web.same_secret(known, hashed):
+                if web.secrets_equal(known, hashed):
                     return parsing.Caller(
                         workspace=name, settings=workspace, now=self.now()
                     )
@@ -71,7 +71,7 @@
         )
         return None
 
-    def refuse(self, failure: errors.Failure) -> None:
+    def fail_with_addresses(self, failure: errors.Failure) -> None:
         """Answer with a failure, and with other entries where they help."""
         more = {}
         if failure.code in (
@@ -108,13 +108,13 @@
             return None
         return service
 
-    def read_terms(self) -> parsing.Terms | None:
+    def parse_options(self) -> parsing.RequestOptions | None:
         """Return the terms in the headers; None after having refused."""
-        terms = parsing.read_terms(self.request.headers)
-        if terms.is_error():
-            self.fail(terms.error)
+        options = parsing.parse_options(self.request.headers)
+        if options.is_error():
+            self.fail(options.error)
             return None
-        return terms.ok
+        return options.ok
 
 
 class AddressHandler(EntryHandler):
@@ -152,18 +152,18 @@
         channel = self.server.submit(request)
         try:
             if request.payload.stream:
-                await self.answer_stream(channel)
+                await self.send_stream(channel)
             else:
-                await self.answer_whole(channel)
+                await self.send_completion(channel)
         except tornado.iostream.StreamClosedError:
             # The caller left; on_connection_close has told the core.
             pass
         finally:
-            self.server.caller_left(self.request_id)
+            self.server.close_channel(self.request_id)
 
     def read_request(self) -> request_lib.Request | None:
         """Return the request; None after having refused."""
-        caller = self.find_caller()
+        caller = self.authenticate_caller()
         if caller is None:
             return None
         body = parsing.parse_body(self.request.body)
@@ -173,14 +173,14 @@
         service = self.find_service(
             body.ok["model"], servicekind.ServiceKind.ENGINE
         )
-        terms = self.read_terms() if service is not None else None
-        if terms is None:
+        options = self.parse_options() if service is not None else None
+        if options is None:
             return None
         request = parsing.engine_request(
             body.ok,
             self.request.body,
             self.chat,
-            terms,
+            options,
             caller,
             service,
             self.server.settings.bytes_per_token,
@@ -190,7 +190,7 @@
             return None
         return request.ok
 
-    async def answer_whole(self, channel) -> None:
+    async def send_completion(self, channel) -> None:
         """Wait for the end and answer once."""
         texts = []
         tokens = 0
@@ -201,20 +201,20 @@
                     texts.append(event.chunk.data)
                     tokens += event.chunk.tokens
                 case actions.Fail():
-                    self.refuse(event.failure)
+                    self.fail_with_addresses(event.failure)
                     return
                 case actions.Finish():
                     text = stored_text(event.answer) or b"".join(texts)
-                    self.send_value(self.whole_answer(text, tokens))
+                    self.send_value(self.completion_document(text, tokens))
                     return
 
-    async def answer_stream(self, channel) -> None:
+    async def send_stream(self, channel) -> None:
         """Answer with server-sent events, each as it comes."""
         started = False
         while True:
             event = await channel.events.get()
             if isinstance(event, actions.Fail) and not started:
-                self.refuse(event.failure)
+                self.fail_with_addresses(event.failure)
                 return
             if not started:
                 started = True
@@ -222,7 +222,7 @@
                 self.set_header("Cache-Control", "no-store")
             match event:
                 case actions.Emit():
-                    self.write_event(self.piece(event.chunk.data))
+                    self.write_event(self.chunk_document(event.chunk.data))
                     await self.flush()
                 case actions.Fail():
                     # The status is sent already: a stream without its end
@@ -233,7 +233,7 @@
                 case actions.Finish():
                     text = stored_text(event.answer)
                     if text:
-                        self.write_event(self.piece(text))
+                        self.write_event(self.chunk_document(text))
                     self.write(b"data: [DONE]\n\n")
                     return
 
@@ -241,7 +241,7 @@
         """Write one server-sent event."""
         self.write(b"data: " + json.dumps(value).encode() + b"\n\n")
 
-    def piece(self, text: bytes) -> dict:
+    def chunk_document(self, text: bytes) -> dict:
         """Return a piece of the answer in the form of the protocol."""
         shown = text.decode(errors="replace")
         choice = {"index": 0, "finish_reason": None}
@@ -253,7 +253,7 @@
             kind = "text_completion"
         return {"id": self.request_id, "object": kind, "choices": [choice]}
 
-    def whole_answer(self, text: bytes, tokens: int) -> dict:
+    def completion_document(self, text: bytes, tokens: int) -> dict:
         """Return a whole answer in the form of the protocol."""
         shown = text.decode(errors="replace")
         choice = {"index": 0, "finish_reason": "stop"}
@@ -287,34 +287,34 @@
 
     async def forward(self, name: str, path: str):
         """Admit a call and answer with what the service answered."""
-        caller = self.find_caller()
+        caller = self.authenticate_caller()
         if caller is None:
             return
         service = self.find_service(name, servicekind.ServiceKind.PLAIN)
-        terms = self.read_terms() if service is not None else None
-        if terms is None:
+        options = self.parse_options() if service is not None else None
+        if options is None:
             return
         request = parsing.plain_request(
-            name, self.plain_call(path), terms, caller, service
+            name, self.make_plain_call(path), options, caller, service
         )
         self.request_id = request.request_id
         channel = self.server.submit(request)
         try:
             event = await channel.events.get()
             if isinstance(event, actions.Fail):
-                self.refuse(event.failure)
+                self.fail_with_addresses(event.failure)
             else:
-                self.show(event.answer)
+                self.send_answer(event.answer)
         finally:
-            self.server.caller_left(self.request_id)
+            self.server.close_channel(self.request_id)
 
-    def plain_call(self, path: str) -> endpointclient.PlainCall:
+    def make_plain_call(self, path: str) -> endpointclient.PlainCall:
         """Return the call to forward."""
         query = f"?{self.request.query}" if self.request.query else ""
         headers = {
             name: value
             for name, value in self.request.headers.items()
-            if name.lower() not in parsing.HOP_HEADERS
+            if name.lower() not in parsing.UNFORWARDED_HEADERS
         }
         return endpointclient.PlainCall(
             method=self.request.method,
@@ -323,7 +323,7 @@
             body=self.request.body,
         )
 
-    def show(self, answer: request_lib.Answer) -> None:
+    def send_answer(self, answer: request_lib.Answer) -> None:
         """Answer as the service did."""
         known = answer.status in tornado.web.httputil.responses
         self.set_status(answer.status, None if known else "Unknown")
@@ -343,8 +343,10 @@
 
     def prepare(self):
         """Refuse endpoints without the token, where one is set."""
-        wanted = self.server.settings.endpoint_token
-        if wanted and not web.same_secret(self.bearer(), wanted):
+        expected_token = self.server.settings.endpoint_token
+        if expected_token and not web.secrets_equal(
+            self.bearer_token(), expected_token
+        ):
             self.fail(
                 errors.Failure(
                     errors.ErrorCode.UNAUTHORIZED,
@@ -366,7 +368,7 @@
             text = documents.explain(error).replace("config", "body", 1)
             self.fail(errors.Failure(errors.ErrorCode.BAD_REQUEST, text))
             return
-        self.take(message)
+        self.pass_to_core(message)
         members = self.core.freshness.members
         self.send_value(
             {
@@ -375,14 +377,14 @@
             }
         )
 
-    def take(self, message) -> None:
+    def pass_to_core(self, message) -> None:
         """Give a message to the core."""
         method = {
             registry.Announcement: self.core.on_announcement,
             endpoints.LoadReport: self.core.on_load,
             prefixes.CacheEvent: self.core.on_cache_event,
         }[self.kind]
-        self.server.run(method, message, self.now())
+        self.server.run_core(method, message, self.now())
 
 
 class HealthHandler(EntryHandler):
--- a/src/_coltsfootroad/shell/entryserver.py
+++ b/src/_coltsfootroad/shell/entryserver.py
@@ -16,9 +16,9 @@
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import request as request_lib
 from _coltsfootroad.core import servicekind
-from _coltsfootroad.shell import callers
 from _coltsfootroad.shell import dumps
 from _coltsfootroad.shell import endpointclient
+from _coltsfootroad.shell import entryapi
 from _coltsfootroad.shell import links
 from _coltsfootroad.shell import logs
 from _coltsfootroad.shell import metrics as metrics_lib
@@ -28,15 +28,15 @@
 from _coltsfootroad.shell import web
 
 LOG = logs.logger("entry")
-SYNC_TIMEOUT_S = 2.0
-CLAIM_TIMEOUT_S = 3.0
-SETTLE_RETRY_S = 0.5
-MIN_WAKE_S = 0.001
+HEARTBEAT_TIMEOUT_S = 2.0
+CONTROL_CALL_TIMEOUT_S = 3.0
+SETTLE_RETRY_DELAY_S = 0.5
+MIN_TIMER_DELAY_S = 0.001
 MAX_BODY_BYTES = 32 * 1024 * 1024
 
 
 @attrs.define
-class Channel:
+class ResponseChannel:
     """The way from the core back to one caller."""
 
     events: asyncio.Queue = attrs.Factory(asyncio.Queue)
@@ -64,22 +64,22 @@
         self.core = entry_lib.EntryCore(
             settings.entry, incarnation, random.Random()
         )
-        self.channels: dict[str, Channel] = {}
+        self.channels: dict[str, ResponseChannel] = {}
         self.tasks: set[asyncio.Task] = set()
-        self.unsettled = 0
-        self.sync_now = asyncio.Event()
+        self.unsettled_claims = 0
+        self.heartbeat_requested = asyncio.Event()
         self.timer: asyncio.TimerHandle | None = None
         self.notes = notes_lib.NoteExchange(
-            settings.peer_listen, self.core.owner, self.take_note
+            settings.peer_listen, self.core.owner, self.on_dispatch_note
         )
         self.http_server = None
         self.admin_server = None
         self.broken: asyncio.Future = self.loop.create_future()
-        self.asked_to_stop: asyncio.Future = self.loop.create_future()
+        self.stop_requested: asyncio.Future = self.loop.create_future()
         self.ttft = metrics.histogram(
             "colts_entry_ttft_seconds", "Time to first token"
         )
-        self.add_metrics()
+        self.register_metrics()
 
     # --- life ------------------------------------------------------------
 
@@ -96,7 +96,7 @@
 
     async def start(self, listen_admin: bool = True) -> None:
         """Open the sockets and start heartbeats and timers."""
-        app = operators.application(callers.routes(self))
+        app = operators.application(entryapi.routes(self))
         self.http_server = web.listen(app, self.settings.listen, MAX_BODY_BYTES)
         if listen_admin:
             routes = web.admin_routes(
@@ -110,15 +110,15 @@
                 MAX_BODY_BYTES,
             )
         await self.notes.start()
-        self.spawn(self.sync_forever())
-        self.wake()
+        self.spawn(self.send_heartbeats())
+        self.run_timers()
         LOG.info(
             "entry {} listens on {}", self.core.owner, self.settings.listen
         )
 
     async def drain(self) -> None:
         """Leave without cutting off a request, then stop."""
-        self.run(self.core.begin_drain, self.loop.time())
+        self.run_core(self.core.begin_drain, self.loop.time())
         LOG.info("entry {} is leaving", self.core.owner)
         end = self.loop.time() + self.settings.shutdown_grace_s
         while self.loop.time() < end and not self.is_drained():
@@ -127,7 +127,7 @@
 
     def is_drained(self) -> bool:
         """Return whether nothing is left to do."""
-        busy = self.channels or self.unsettled
+        busy = self.channels or self.unsettled_claims
         return self.core.is_drained(self.loop.time()) and not busy
 
     async def stop(self) -> None:
@@ -147,9 +147,9 @@
         """Run a coroutine beside the others; its faults end the process."""
         task = self.loop.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self.task_done)
+        task.add_done_callback(self.on_task_done)
 
-    def task_done(self, task: asyncio.Task) -> None:
+    def on_task_done(self, task: asyncio.Task) -> None:
         """Forget a task; a fault in one is a broken invariant."""
         self.tasks.discard(task)
         if task.cancelled() or task.exception() is None:
@@ -160,37 +160,37 @@
 
     # --- core ------------------------------------------------------------
 
-    def run(self, method, *arguments) -> None:
+    def run_core(self, method, *arguments) -> None:
         """Call the core and carry out what it wants."""
         try:
-            wanted = method(*arguments)
+            requested_actions = method(*arguments)
         except errors.BrokenInvariantError as error:
             LOG.critical("stopping on a broken invariant: {}", error)
             if not self.broken.done():
                 self.broken.set_exception(error)
             return
-        for action in wanted:
-            self.carry_out(action)
+        for action in requested_actions:
+            self.execute(action)
         if self.core.syncing.wants_sync:
-            self.sync_now.set()
-        self.plan_wake()
+            self.heartbeat_requested.set()
+        self.schedule_timer()
 
-    def wake(self) -> None:
+    def run_timers(self) -> None:
         """Run the core's timers."""
         self.timer = None
-        self.run(self.core.tick, self.loop.time())
+        self.run_core(self.core.tick, self.loop.time())
 
-    def plan_wake(self) -> None:
+    def schedule_timer(self) -> None:
         """Set the timer to when the core wants it."""
         now = self.loop.time()
-        at = max(self.core.next_wake(now), now + MIN_WAKE_S)
+        at = max(self.core.next_wake(now), now + MIN_TIMER_DELAY_S)
         if self.timer is not None:
             if self.timer.when() <= at:
                 return
             self.timer.cancel()
-        self.timer = self.loop.call_at(at, self.wake)
+        self.timer = self.loop.call_at(at, self.run_timers)
 
-    def carry_out(self, action: actions.Action) -> None:
+    def execute(self, action: actions.Action) -> None:
         """Start what an action asks for."""
         match action:
             case actions.Dispatch():
@@ -198,13 +198,13 @@
             case actions.DispatchNote():
                 self.notes.share(action)
             case actions.Emit() | actions.Finish() | actions.Fail():
-                self.to_caller(action)
+                self.send_to_caller(action)
             case actions.Cancel():
                 self.spawn(self.cancel(action))
             case actions.TakeClaim():
-                self.spawn(self.take_claim(action))
+                self.spawn(self.acquire_claim(action))
             case actions.SettleClaim():
-                self.unsettled += 1
+                self.unsettled_claims += 1
                 self.spawn(self.settle_claim(action))
             case actions.Reprioritise():
                 self.spawn(self.reprioritise(action))
@@ -212,16 +212,16 @@
                 self.spawn(self.reserve_group(action))
             case actions.ReleaseGroup():
                 release = calls.release_call(action)
-                self.spawn(self.control.call(release, CLAIM_TIMEOUT_S))
+                self.spawn(self.control.call(release, CONTROL_CALL_TIMEOUT_S))
 
-    def submit(self, request: request_lib.Request) -> Channel:
+    def submit(self, request: request_lib.Request) -> ResponseChannel:
         """Give a request to the core; its events come over the channel."""
-        channel = Channel(started_at=self.loop.time())
+        channel = ResponseChannel(started_at=self.loop.time())
         self.channels[request.request_id] = channel
-        self.run(self.core.submit, request, self.loop.time())
+        self.run_core(self.core.submit, request, self.loop.time())
         return channel
 
-    def to_caller(self, action) -> None:
+    def send_to_caller(self, action) -> None:
         """Hand an event to the caller that waits for it."""
         channel = self.channels.get(action.request_id)
         if channel is None:
@@ -233,10 +233,12 @@
                 self.ttft.record(channel.first_token_at - channel.started_at)
         channel.events.put_nowait(action)
 
-    def caller_left(self, request_id: str) -> None:
+    def close_channel(self, request_id: str) -> None:
         """Note that a caller has its answer or has gone."""
         if self.channels.pop(request_id, None) is not None:
-            self.run(self.core.on_caller_gone, request_id, self.loop.time())
+            self.run_core(
+                self.core.on_caller_gone, request_id, self.loop.time()
+            )
 
     # --- endpoints -------------------------------------------------------
 
@@ -250,11 +252,11 @@
         plain = servicekind.ServiceKind.PLAIN
         for part in dispatch.parts:
             if dispatch.request.kind is plain:
-                self.spawn(self.call_plain(dispatch))
+                self.spawn(self.call_service(dispatch))
             else:
                 self.spawn(self.generate(dispatch, part))
 
-    def attempt_failed(
+    def report_failed_attempt(
         self,
         dispatch: actions.Dispatch,
         part: actions.Part,
@@ -268,7 +270,7 @@
             part.endpoint,
             fault.value,
         )
-        self.run(
+        self.run_core(
             self.core.on_attempt_failed,
             part.endpoint,
             dispatch.request.request_id,
@@ -282,13 +284,13 @@
     ) -> None:
         """Run one part of an attempt at an engine."""
         address = self.address_of(part.endpoint)
-        left_s = dispatch.deadline_at - self.loop.time()
-        if address is None or left_s <= 0:
-            self.attempt_failed(dispatch, part, entry_lib.Fault.NOT_SENT)
+        remaining_s = dispatch.deadline_at - self.loop.time()
+        if address is None or remaining_s <= 0:
+            self.report_failed_attempt(dispatch, part, entry_lib.Fault.NOT_SENT)
             return
 
         def on_chunk(chunk: request_lib.Chunk) -> None:
-            self.run(
+            self.run_core(
                 self.core.on_chunk,
                 part.endpoint,
                 dispatch.request.request_id,
@@ -303,11 +305,11 @@
             part,
             self.core.owner,
             self.resume_text(dispatch),
-            left_s,
+            remaining_s,
             on_chunk,
         )
         if fault is not None:
-            self.attempt_failed(dispatch, part, fault)
+            self.report_failed_attempt(dispatch, part, fault)
 
     def resume_text(self, dispatch: actions.Dispatch) -> str:
         """Return what the caller has of the answer already."""
@@ -316,19 +318,19 @@
             return ""
         return b"".join(channel.sent_text).decode(errors="replace")
 
-    async def call_plain(self, dispatch: actions.Dispatch) -> None:
+    async def call_service(self, dispatch: actions.Dispatch) -> None:
         """Make one call of a plain service."""
         part = dispatch.parts[0]
         address = self.address_of(part.endpoint)
-        left_s = dispatch.deadline_at - self.loop.time()
-        if address is None or left_s <= 0:
-            self.attempt_failed(dispatch, part, entry_lib.Fault.NOT_SENT)
+        remaining_s = dispatch.deadline_at - self.loop.time()
+        if address is None or remaining_s <= 0:
+            self.report_failed_attempt(dispatch, part, entry_lib.Fault.NOT_SENT)
             return
-        outcome = await self.client.call(address, dispatch, left_s)
+        outcome = await self.client.call(address, dispatch, remaining_s)
         if outcome.is_error():
-            self.attempt_failed(dispatch, part, outcome.error)
+            self.report_failed_attempt(dispatch, part, outcome.error)
             return
-        self.run(
+        self.run_core(
             self.core.on_answer,
             part.endpoint,
             dispatch.request.request_id,
@@ -346,7 +348,7 @@
         plain = view.announcement.kind is servicekind.ServiceKind.PLAIN
         if not plain and not await self.client.cancel(address, action):
             return
-        self.run(
+        self.run_core(
             self.core.on_cancel_confirmed,
             action.endpoint,
             action.request_id,
@@ -360,27 +362,28 @@
         if address is not None:
             await self.client.reprioritise(address, action)
 
-    def take_note(self, note: actions.DispatchNote) -> None:
+    def on_dispatch_note(self, note: actions.DispatchNote) -> None:
         """Take another entry's note of a dispatch."""
-        self.run(self.core.on_note, note, self.loop.time())
+        self.run_core(self.core.on_note, note, self.loop.time())
 
     # --- control ---------------------------------------------------------
 
-    async def sync_forever(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Send heartbeats for as long as the process lives."""
         while True:
-            self.sync_now.clear()
-            await self.sync_once()
+            self.heartbeat_requested.clear()
+            await self.send_heartbeat()
             with contextlib.suppress(asyncio.TimeoutError):
                 await asyncio.wait_for(
-                    self.sync_now.wait(), self.settings.sync_interval_s
+                    self.heartbeat_requested.wait(),
+                    self.settings.sync_interval_s,
                 )
 
-    async def sync_once(self) -> None:
+    async def send_heartbeat(self) -> None:
         """Send one heartbeat and take its answer."""
-        asked_at = self.loop.time()
-        request = self.core.sync_request(self.member, asked_at)
-        answer = await self.control.call(request, SYNC_TIMEOUT_S)
+        requested_at = self.loop.time()
+        request = self.core.sync_request(self.member, requested_at)
+        answer = await self.control.call(request, HEARTBEAT_TIMEOUT_S)
         if answer.is_error():
             LOG.warning("heartbeat failed: {}", answer.error.message)
             return
@@ -388,20 +391,24 @@
             LOG.warning("heartbeat refused: {}", answer.ok)
             return
         version = self.core.freshness.version
-        self.run(
-            self.core.on_sync, request, answer.ok, asked_at, self.loop.time()
+        self.run_core(
+            self.core.on_sync,
+            request,
+            answer.ok,
+            requested_at,
+            self.loop.time(),
         )
         self.notes.follow(self.core.freshness.members)
         if self.core.freshness.version != version:
             LOG.info("configuration {} in force", self.core.freshness.version)
 
-    async def take_claim(self, action: actions.TakeClaim) -> None:
+    async def acquire_claim(self, action: actions.TakeClaim) -> None:
         """Ask for a claim; the core asks again when nothing comes."""
         request = action.request
         message = calls.claim_call(action, self.loop.time())
-        answer = await self.control.call(message, CLAIM_TIMEOUT_S)
+        answer = await self.control.call(message, CONTROL_CALL_TIMEOUT_S)
         if answer.is_ok() and isinstance(answer.ok, messages.ClaimAnswer):
-            self.run(
+            self.run_core(
                 self.core.on_claim,
                 request.request_id,
                 answer.ok,
@@ -413,19 +420,21 @@
         message = calls.settle_call(action)
         try:
             while True:
-                answer = await self.control.call(message, CLAIM_TIMEOUT_S)
+                answer = await self.control.call(
+                    message, CONTROL_CALL_TIMEOUT_S
+                )
                 if answer.is_ok() and isinstance(answer.ok, outcomes.Done):
                     return
-                await asyncio.sleep(SETTLE_RETRY_S)
+                await asyncio.sleep(SETTLE_RETRY_DELAY_S)
         finally:
-            self.unsettled -= 1
+            self.unsettled_claims -= 1
 
     async def reserve_group(self, action: actions.ReserveGroup) -> None:
         """Ask for a group of engines; the core asks again by its timer."""
         message = calls.reserve_call(action)
-        answer = await self.control.call(message, CLAIM_TIMEOUT_S)
+        answer = await self.control.call(message, CONTROL_CALL_TIMEOUT_S)
         if answer.is_ok() and isinstance(answer.ok, messages.GroupAnswer):
-            self.run(self.core.on_group, answer.ok, self.loop.time())
+            self.run_core(self.core.on_group, answer.ok, self.loop.time())
 
     # --- facts -----------------------------------------------------------
 
@@ -444,11 +453,11 @@
                 "queues": self.core.dispatcher.queues,
                 "bands": self.core.dispatcher.bands_by_service,
                 "releases": len(self.core.releaser.pending),
-                "unsettled": self.unsettled,
+                "unsettled": self.unsettled_claims,
             }
         )
 
-    def add_metrics(self) -> None:
+    def register_metrics(self) -> None:
         """Register the metrics of this entry."""
         core = self.core
         for field in attrs.fields(counters_lib.Counters):
@@ -485,8 +494,8 @@
 
     def post(self):
         """Begin, and answer with how long addresses still hold."""
-        if not self.server.asked_to_stop.done():
-            self.server.asked_to_stop.set_result(True)
+        if not self.server.stop_requested.done():
+            self.server.stop_requested.set_result(True)
         validity = self.server.core.config.fleet.address_validity_s
         self.send_value({"draining": True, "accepts_for_s": validity})
 
--- a/src/_coltsfootroad/shell/links.py
+++ b/src/_coltsfootroad/shell/links.py
@@ -27,7 +27,7 @@
 SENDER_ADDRESS_KEY = "colts-sender-address"
 MAX_QUEUED = 512
 # Peers may come and go in storms.
-LINK_LINES = logs.LineLimit(40, 10.0)
+LINK_LINES = logs.LogRateLimit(40, 10.0)
 # Pause before a broken stream is opened again, unless the other side is heard.
 RECONNECT_S = 0.3
 # The receiver acknowledges a stream at most this often, to save bytes.
--- a/src/_coltsfootroad/shell/loanlog.py
+++ b/src/_coltsfootroad/shell/loanlog.py
@@ -14,7 +14,7 @@
 
     def __init__(self, node: node_lib.ControlNode):
         self.node = node
-        self.lines = logs.LineLimit(LINES_PER_S, 1.0)
+        self.lines = logs.LogRateLimit(LINES_PER_S, 1.0)
 
     def note(
         self, request: retrylending.BorrowRetries, answer: object, now: float
--- a/src/_coltsfootroad/shell/logs.py
+++ b/src/_coltsfootroad/shell/logs.py
@@ -19,8 +19,8 @@
 # Lines that wait for a slow reader: about a megabyte.
 MAX_BUFFERED_LINES = 4_096
 # Bytes written at once; a pipe takes 64 KiB.
-WRITE_BYTES = 32 * 1024
-STDOUT = 1
+CHUNK_BYTES = 32 * 1024
+STDOUT_FD = 1
 ENCODER = msgspec.json.Encoder()
 
 
@@ -29,26 +29,26 @@
     return logbook.Logger(part)
 
 
-class LineLimit:
+class LogRateLimit:
     """Lets some lines of a kind through in each span of time.
 
     What strangers send may come at any rate; the first lines tell as much as
     all of them.
     """
 
-    def __init__(self, lines: int, span_s: float):
+    def __init__(self, lines: int, window_s: float):
         self.lines = lines
-        self.span_s = span_s
-        self.since = float("-inf")
-        self.seen = 0
+        self.window_s = window_s
+        self.window_start = float("-inf")
+        self.line_count = 0
 
     def allows(self, now: float) -> bool:
         """Return whether one more line may be written at `now`."""
-        if now - self.since >= self.span_s:
-            self.since = now
-            self.seen = 0
-        self.seen += 1
-        return self.seen <= self.lines
+        if now - self.window_start >= self.window_s:
+            self.window_start = now
+            self.line_count = 0
+        self.line_count += 1
+        return self.line_count <= self.lines
 
 
 class LineBuffer:
@@ -58,7 +58,7 @@
         self.descriptor = descriptor
         self.limit = limit
         self.lines: collections.deque[bytes] = collections.deque()
-        self.rest = b""
+        self.unwritten = b""
         self.dropped = 0
 
     def add(self, line: bytes) -> None:
@@ -71,27 +71,27 @@
 
     def flush(self) -> None:
         """Write as much as the descriptor takes without waiting."""
-        while self.rest or self.lines:
-            if not self.rest:
-                self.rest = self.take()
+        while self.unwritten or self.lines:
+            if not self.unwritten:
+                self.unwritten = self.next_chunk()
             try:
-                written = os.write(self.descriptor, self.rest)
+                written = os.write(self.descriptor, self.unwritten)
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody reads any more; what is left cannot be told.
                 self.dropped += len(self.lines) + 1
                 self.lines.clear()
-                self.rest = b""
+                self.unwritten = b""
                 return
-            self.rest = self.rest[written:]
+            self.unwritten = self.unwritten[written:]
 
-    def take(self) -> bytes:
+    def next_chunk(self) -> bytes:
         """Return some whole lines."""
-        taken = bytearray()
-        while self.lines and len(taken) < WRITE_BYTES:
-            taken += self.lines.popleft()
-        return bytes(taken)
+        chunk = bytearray()
+        while self.lines and len(chunk) < CHUNK_BYTES:
+            chunk += self.lines.popleft()
+        return bytes(chunk)
 
 
 class JsonHandler(logbook.Handler):
@@ -113,7 +113,7 @@
         self.buffer.add(ENCODER.encode(fields) + b"\n")
 
 
-OUTPUT = LineBuffer(STDOUT)
+OUTPUT = LineBuffer(STDOUT_FD)
 
 
 def dropped() -> int:
@@ -128,7 +128,7 @@
     """
     logbook.set_datetime_format("utc")
     if structured:
-        os.set_blocking(STDOUT, False)
+        os.set_blocking(STDOUT_FD, False)
         JsonHandler(OUTPUT, level).push_application()
         return
     handler = logbook.StreamHandler(
--- a/src/_coltsfootroad/shell/metrics.py
+++ b/src/_coltsfootroad/shell/metrics.py
@@ -10,15 +10,15 @@
 import attrs
 
 # Bucket borders in seconds for first-token times.
-TTFT_BUCKETS = (0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120, 300)
+TTFT_BUCKETS_S = (0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120, 300)
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 # Samples that are kept until the SDK takes them over. Whoever has had more of
 # them loads the SDK.
-MAX_PENDING = 4_096
+MAX_PENDING_SAMPLES = 4_096
 
 # None while there is nothing to observe.
-Observe = Callable[[], float | None]
-ObserveAll = Callable[[], dict[str, float]]
+ReadValue = Callable[[], float | None]
+ReadLabelledValues = Callable[[], dict[str, float]]
 
 
 @attrs.define
@@ -26,7 +26,7 @@
     """Samples of seconds, kept here until the SDK takes them."""
 
     name: str
-    text: str
+    description: str
     metrics: "Metrics"
     pending: list[float] = attrs.Factory(list)
     instrument: object | None = None
@@ -37,16 +37,16 @@
             self.instrument.record(seconds)
             return
         self.pending.append(seconds)
-        if len(self.pending) >= MAX_PENDING:
-            self.metrics.load()
+        if len(self.pending) >= MAX_PENDING_SAMPLES:
+            self.metrics.load_sdk()
 
-    def load(self, meter) -> None:
+    def attach(self, meter) -> None:
         """Hand all samples over to the SDK."""
         self.instrument = meter.create_histogram(
             self.name,
             unit="s",
-            description=self.text,
-            explicit_bucket_boundaries_advisory=TTFT_BUCKETS,
+            description=self.description,
+            explicit_bucket_boundaries_advisory=TTFT_BUCKETS_S,
         )
         for seconds in self.pending:
             self.instrument.record(seconds)
@@ -54,22 +54,22 @@
 
 
 @attrs.frozen
-class Observed:
+class ObservableMetric:
     """A value that is read when the metrics are pulled."""
 
     name: str
-    text: str
-    observe: Observe
+    description: str
+    read: ReadValue
 
 
 @attrs.frozen
-class ObservedBy:
+class LabelledMetric:
     """Values by the word that stands in one label, read likewise."""
 
     name: str
-    text: str
+    description: str
     label: str
-    observe: ObserveAll
+    read: ReadLabelledValues
 
 
 @attrs.define
@@ -77,9 +77,9 @@
     """Instruments of one process; pulling them needs no thread."""
 
     program: str
-    gauges: list[Observed] = attrs.Factory(list)
-    counters: list[Observed] = attrs.Factory(list)
-    labelled: list[ObservedBy] = attrs.Factory(list)
+    gauges: list[ObservableMetric] = attrs.Factory(list)
+    counters: list[ObservableMetric] = attrs.Factory(list)
+    labelled: list[LabelledMetric] = attrs.Factory(list)
     histograms: list[Histogram] = attrs.Factory(list)
     registry: object | None = None
 
@@ -88,27 +88,27 @@
         """Return the metrics of a program."""
         return cls(program)
 
-    def gauge(self, name: str, text: str, observe: Observe) -> None:
+    def gauge(self, name: str, description: str, read: ReadValue) -> None:
         """Add a gauge that is read when the metrics are pulled."""
         self.check_not_loaded()
-        self.gauges.append(Observed(name, text, observe))
+        self.gauges.append(ObservableMetric(name, description, read))
 
-    def counter(self, name: str, text: str, observe: Observe) -> None:
+    def counter(self, name: str, description: str, read: ReadValue) -> None:
         """Add a counter that is read when the metrics are pulled."""
         self.check_not_loaded()
-        self.counters.append(Observed(name, text, observe))
+        self.counters.append(ObservableMetric(name, description, read))
 
-    def counter_by(
-        self, name: str, text: str, label: str, observe: ObserveAll
+    def labelled_counter(
+        self, name: str, description: str, label: str, read: ReadLabelledValues
     ) -> None:
         """Add counters that differ by one label."""
         self.check_not_loaded()
-        self.labelled.append(ObservedBy(name, text, label, observe))
+        self.labelled.append(LabelledMetric(name, description, label, read))
 
-    def histogram(self, name: str, text: str) -> Histogram:
+    def histogram(self, name: str, description: str) -> Histogram:
         """Return a histogram in seconds."""
         self.check_not_loaded()
-        histogram = Histogram(name, text, self)
+        histogram = Histogram(name, description, self)
         self.histograms.append(histogram)
         return histogram
 
@@ -117,7 +117,7 @@
         if self.registry is not None:
             raise RuntimeError("instruments are added before the first pull")
 
-    def load(self) -> None:
+    def load_sdk(self) -> None:
         """Import the SDK and make the instruments."""
         if self.registry is not None:
             return
@@ -131,44 +131,46 @@
         meter = provider.get_meter(self.program)
         for gauge in self.gauges:
             meter.create_observable_gauge(
-                gauge.name, [observation(gauge.observe)], description=gauge.text
+                gauge.name,
+                [value_callback(gauge.read)],
+                description=gauge.description,
             )
         for counter in self.counters:
             meter.create_observable_counter(
                 counter.name,
-                [observation(counter.observe)],
-                description=counter.text,
+                [value_callback(counter.read)],
+                description=counter.description,
             )
         for labelled in self.labelled:
             meter.create_observable_counter(
                 labelled.name,
-                [observation_by(labelled)],
-                description=labelled.text,
+                [labelled_callback(labelled)],
+                description=labelled.description,
             )
         for histogram in self.histograms:
-            histogram.load(meter)
+            histogram.attach(meter)
 
     def text(self) -> bytes:
         """Return all metrics as Prometheus text."""
-        self.load()
+        self.load_sdk()
         import prometheus_client
 
         return prometheus_client.generate_latest(self.registry)
 
 
-def observation(observe: Observe):
+def value_callback(read: ReadValue):
     """Return a callback of the form that OpenTelemetry calls."""
 
     def callback(_):
         from opentelemetry import metrics as otel
 
-        value = observe()
+        value = read()
         return [] if value is None else [otel.Observation(value)]
 
     return callback
 
 
-def observation_by(labelled: ObservedBy):
+def labelled_callback(labelled: LabelledMetric):
     """Return a callback that gives one observation for each label."""
 
     def callback(_):
@@ -176,7 +178,7 @@
 
         return [
             otel.Observation(value, {labelled.label: word})
-            for word, value in labelled.observe().items()
+            for word, value in labelled.read().items()
         ]
 
     return callback
--- a/src/_coltsfootroad/shell/parsing.py
+++ b/src/_coltsfootroad/shell/parsing.py
@@ -19,15 +19,15 @@
 DEADLINE_HEADER = "X-Colts-Deadline-S"
 PRIORITY_HEADER = "X-Colts-Priority"
 SESSION_HEADER = "X-Colts-Session"
-MAX_KEY = 200
-MAX_SESSION = 200
+MAX_KEY_LENGTH = 200
+MAX_SESSION_LENGTH = 200
 DEFAULT_MAX_TOKENS = 256
 BLOCK_BYTES = 4_096
-MAX_BLOCKS = 512
+MAX_HASHED_BLOCKS = 512
 # Methods that HTTP defines as safe to repeat.
-REPEATABLE_METHODS = ("GET", "HEAD", "OPTIONS", "PUT", "DELETE")
+IDEMPOTENT_METHODS = ("GET", "HEAD", "OPTIONS", "PUT", "DELETE")
 # Headers that belong to one connection and are not forwarded.
-HOP_HEADERS = {
+UNFORWARDED_HEADERS = {
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Terms:
+class RequestOptions:
     """What the headers of any request say."""
 
     key: str = ""
@@ -56,7 +56,7 @@
     session: str = ""
 
 
-def bad(message: str, code=errors.ErrorCode.BAD_REQUEST):
+def bad_request(message: str, code=errors.ErrorCode.BAD_REQUEST):
     """Return the refusal of a malformed request."""
     return Error(errors.Failure(code, message))
 
@@ -80,43 +80,47 @@
     return (parsed.int >> 80) / 1000.0
 
 
-def read_terms(headers) -> Result[Terms, errors.Failure]:
+def parse_options(headers) -> Result[RequestOptions, errors.Failure]:
     """Return the terms in the headers, or which header is wrong."""
     key = headers.get(KEY_HEADER, "")
-    made_at = key_time(key) if key else 0.0
-    if len(key) > MAX_KEY:
-        return bad(f"header {KEY_HEADER} is longer than {MAX_KEY} characters")
-    if made_at is None:
-        return bad(
+    created_at = key_time(key) if key else 0.0
+    if len(key) > MAX_KEY_LENGTH:
+        return bad_request(
+            f"header {KEY_HEADER} is longer than {MAX_KEY_LENGTH} characters"
+        )
+    if created_at is None:
+        return bad_request(
             f"header {KEY_HEADER} is {key!r}; it must start with unix"
             " seconds and '-' or be a UUID of version 7, to show its age",
             errors.ErrorCode.KEY_REQUIRED_AGE,
         )
-    deadline = read_number(headers, DEADLINE_HEADER, float)
-    priority = read_number(headers, PRIORITY_HEADER, int)
+    deadline = parse_number(headers, DEADLINE_HEADER, float)
+    priority = parse_number(headers, PRIORITY_HEADER, int)
     for item in (deadline, priority):
         if item.is_error():
             return item
     if deadline.ok is not None and not 0 < deadline.ok < float("inf"):
-        return bad(f"header {DEADLINE_HEADER} must be above 0")
+        return bad_request(f"header {DEADLINE_HEADER} must be above 0")
     if priority.ok is not None and not 0 <= priority.ok <= 9:
-        return bad(f"header {PRIORITY_HEADER} must be 0 to 9")
+        return bad_request(f"header {PRIORITY_HEADER} must be 0 to 9")
     flag = headers.get(NON_IDEMPOTENT_HEADER, "false").lower()
     if flag not in ("true", "false"):
-        return bad(f"header {NON_IDEMPOTENT_HEADER} must be true or false")
+        return bad_request(
+            f"header {NON_IDEMPOTENT_HEADER} must be true or false"
+        )
     return Ok(
-        Terms(
+        RequestOptions(
             key=key,
-            key_time=made_at,
+            key_time=created_at,
             non_idempotent=flag == "true",
             deadline_s=deadline.ok,
             priority=priority.ok,
-            session=headers.get(SESSION_HEADER, "")[:MAX_SESSION],
+            session=headers.get(SESSION_HEADER, "")[:MAX_SESSION_LENGTH],
         )
     )
 
 
-def read_number(headers, name: str, kind):
+def parse_number(headers, name: str, kind):
     """Return a number in a header, None if it is absent."""
     text = headers.get(name)
     if text is None:
@@ -124,37 +128,39 @@
     try:
         return Ok(kind(text))
     except ValueError:
-        return bad(f"header {name} is {text!r}, must be a number")
+        return bad_request(f"header {name} is {text!r}, must be a number")
 
 
-def read_prompt(body: dict, chat: bool) -> Result[str, errors.Failure]:
+def parse_prompt(body: dict, chat: bool) -> Result[str, errors.Failure]:
     """Return the text of the prompt, or which field is wrong."""
     if not chat:
         prompt = body.get("prompt")
         if not isinstance(prompt, str) or not prompt:
-            return bad("field prompt must be a text that is not empty")
+            return bad_request("field prompt must be a text that is not empty")
         return Ok(prompt)
     turns = body.get("messages")
     if not isinstance(turns, list) or not turns:
-        return bad("field messages must be a list that is not empty")
+        return bad_request("field messages must be a list that is not empty")
     texts = []
     for index, turn in enumerate(turns):
         content = turn.get("content") if isinstance(turn, dict) else None
         if not isinstance(content, str):
-            return bad(f"field messages[{index}].content must be a text")
+            return bad_request(
+                f"field messages[{index}].content must be a text"
+            )
         texts.append(content)
     return Ok("\n".join(texts))
 
 
 def block_hashes(text: bytes) -> tuple[str, ...]:
     """Return chained hashes of a prompt's whole blocks."""
-    found = []
+    hashes = []
     digest = xxhash.xxh3_64()
-    whole = min(len(text) // BLOCK_BYTES, MAX_BLOCKS)
-    for number in range(whole):
+    complete_blocks = min(len(text) // BLOCK_BYTES, MAX_HASHED_BLOCKS)
+    for number in range(complete_blocks):
         digest.update(text[number * BLOCK_BYTES : (number + 1) * BLOCK_BYTES])
-        found.append(digest.hexdigest())
-    return tuple(found)
+        hashes.append(digest.hexdigest())
+    return tuple(hashes)
 
 
 def body_hash(method: str, path: str, body: bytes) -> str:
@@ -164,11 +170,13 @@
     return digest.hexdigest()
 
 
-def read_output_tokens(body: dict) -> Result[int, errors.Failure]:
+def parse_output_tokens(body: dict) -> Result[int, errors.Failure]:
     """Return the bound on generated tokens."""
     value = body.get("max_tokens", DEFAULT_MAX_TOKENS)
     if not isinstance(value, int) or isinstance(value, bool) or value < 1:
-        return bad(f"field max_tokens is {value!r}, must be a number above 0")
+        return bad_request(
+            f"field max_tokens is {value!r}, must be a number above 0"
+        )
     return Ok(value)
 
 
@@ -185,26 +193,26 @@
     body: dict,
     raw: bytes,
     chat: bool,
-    terms: Terms,
+    options: RequestOptions,
     caller: Caller,
     service: config_lib.Service,
     bytes_per_token: float,
 ) -> Result[request_lib.Request, errors.Failure]:
     """Return the request for an engine."""
-    prompt = read_prompt(body, chat)
+    prompt = parse_prompt(body, chat)
     if prompt.is_error():
         return prompt
-    output = read_output_tokens(body)
+    output = parse_output_tokens(body)
     if output.is_error():
         return output
     stream = body.get("stream", False)
     if not isinstance(stream, bool):
-        return bad(f"field stream is {stream!r}, must be true or false")
+        return bad_request(f"field stream is {stream!r}, must be true or false")
     text = prompt.ok.encode()
     path = "chat" if chat else "completion"
     return Ok(
         make_request(
-            terms,
+            options,
             caller,
             service,
             service_name=body["model"],
@@ -222,7 +230,7 @@
 def plain_request(
     service_name: str,
     call: endpointclient.PlainCall,
-    terms: Terms,
+    options: RequestOptions,
     caller: Caller,
     service: config_lib.Service,
 ) -> request_lib.Request:
@@ -231,9 +239,11 @@
     A method that HTTP does not define as repeatable is never sent twice,
     marked or not; the mark and a key add the durable claim.
     """
-    once = terms.non_idempotent or call.method not in REPEATABLE_METHODS
+    non_idempotent = (
+        options.non_idempotent or call.method not in IDEMPOTENT_METHODS
+    )
     return make_request(
-        attrs.evolve(terms, non_idempotent=once),
+        attrs.evolve(options, non_idempotent=non_idempotent),
         caller,
         service,
         service_name=service_name,
@@ -246,30 +256,30 @@
 
 
 def make_request(
-    terms: Terms,
+    options: RequestOptions,
     caller: Caller,
     service: config_lib.Service,
     service_name: str,
     **fields,
 ) -> request_lib.Request:
     """Return a request with what both kinds share."""
-    wanted_s = terms.deadline_s or service.default_deadline_s
+    requested_s = options.deadline_s or service.default_deadline_s
     priority = caller.settings.priority
-    if terms.priority is not None:
+    if options.priority is not None:
         # A caller may yield to others but not jump ahead.
-        priority = max(priority, terms.priority)
+        priority = max(priority, options.priority)
     return request_lib.Request(
         request_id=uuid.uuid4().hex,
         workspace=caller.workspace,
         service=service_name,
         arrived_at=caller.now,
-        deadline_at=caller.now + min(wanted_s, service.max_deadline_s),
+        deadline_at=caller.now + min(requested_s, service.max_deadline_s),
         kind=service.kind,
         priority=priority,
-        non_idempotent=terms.non_idempotent,
-        idempotency_key=terms.key,
-        key_time=terms.key_time,
-        session=terms.session,
+        non_idempotent=options.non_idempotent,
+        idempotency_key=options.key,
+        key_time=options.key_time,
+        session=options.session,
         **fields,
     )
 
@@ -279,9 +289,9 @@
     try:
         body = json.loads(raw)
     except (ValueError, RecursionError):
-        return bad("the body is not JSON")
+        return bad_request("the body is not JSON")
     if not isinstance(body, dict):
-        return bad("the body is not a JSON object")
+        return bad_request("the body is not a JSON object")
     if not isinstance(body.get("model"), str):
-        return bad("field model must name a service")
+        return bad_request("field model must name a service")
     return Ok(body)
--- a/src/_coltsfootroad/shell/processsignals.py
+++ b/src/_coltsfootroad/shell/processsignals.py
@@ -15,13 +15,13 @@
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("signals")
-STOPPING = (signal.SIGTERM, signal.SIGINT)
-HANDLED = (*STOPPING, signal.SIGUSR1, signal.SIGHUP)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+HANDLED_SIGNALS = (*STOP_SIGNALS, signal.SIGUSR1, signal.SIGHUP)
 # A terminal and the program that runs in it may both pass on one Ctrl-C.
-SECOND_INTERRUPT_S = 0.5
+MIN_INTERRUPT_GAP_S = 0.5
 WAKEUP_BYTES = 4_096
 LOG_LINES = 10
-LOG_SPAN_S = 1.0
+LOG_WINDOW_S = 1.0
 
 
 class ProcessSignals:
@@ -39,21 +39,21 @@
     """
 
     def __init__(self):
-        self.stopped_by: set[signal.Signals] = set()
-        self.interrupted_at: float | None = None
+        self.stop_signals: set[signal.Signals] = set()
+        self.first_interrupt_at: float | None = None
         self.actions: dict[signal.Signals, Callable[[], None]] = {}
         self.pending: set[signal.Signals] = set()
         self.loop: asyncio.AbstractEventLoop | None = None
         self.wakeup: tuple[socket.socket, socket.socket] | None = None
-        self.lines = logs.LineLimit(LOG_LINES, LOG_SPAN_S)
+        self.log_limit = logs.LogRateLimit(LOG_LINES, LOG_WINDOW_S)
 
     def install(self) -> None:
         """Handle all signals; before a loop runs a stop is remembered."""
-        self.stopped_by = set()
-        self.interrupted_at = None
+        self.stop_signals = set()
+        self.first_interrupt_at = None
         self.actions = {}
         self.pending = set()
-        for number in HANDLED:
+        for number in HANDLED_SIGNALS:
             signal.signal(number, self.handle)
 
     def attach(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -68,7 +68,7 @@
 
     def ignore(self) -> None:
         """Let no signal change the exit code of a process that ends."""
-        for number in HANDLED:
+        for number in HANDLED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
         self.loop = None
         if self.wakeup is not None:
@@ -85,46 +85,46 @@
 
     def set_stop_action(self, action: Callable[[], None]) -> None:
         """Run an action once a stop is asked for, at once if it was."""
-        for number in STOPPING:
+        for number in STOP_SIGNALS:
             self.set_action(number, action)
-        if self.stopped_by:
+        if self.stop_signals:
             action()
 
     def handle(self, number: int, _frame) -> None:
         """Handle a signal; runs between two instructions of the program."""
         received = signal.Signals(number)
         if received is signal.SIGINT:
-            self.interrupt()
-        if received in STOPPING:
-            self.stopped_by.add(received)
-        elif received is signal.SIGHUP and self.stopped_by:
+            self.on_interrupt()
+        if received in STOP_SIGNALS:
+            self.stop_signals.add(received)
+        elif received is signal.SIGHUP and self.stop_signals:
             return
         loop = self.loop
         if loop is None or loop.is_closed():
             return
         if received not in self.pending:
             self.pending.add(received)
-            loop.call_soon_threadsafe(self.run, received)
+            loop.call_soon_threadsafe(self.run_action, received)
 
-    def interrupt(self) -> None:
+    def on_interrupt(self) -> None:
         """End the process at once if its user asks for that at a terminal.
 
         A process that SIGTERM stops drains to its end whatever else comes.
         """
         now = clocks.boot_time()
-        if self.interrupted_at is None:
-            self.interrupted_at = now
-        elif signal.SIGTERM in self.stopped_by:
+        if self.first_interrupt_at is None:
+            self.first_interrupt_at = now
+        elif signal.SIGTERM in self.stop_signals:
             return
-        elif now - self.interrupted_at >= SECOND_INTERRUPT_S:
+        elif now - self.first_interrupt_at >= MIN_INTERRUPT_GAP_S:
             signal.signal(signal.SIGINT, signal.SIG_DFL)
             signal.raise_signal(signal.SIGINT)
 
-    def run(self, received: signal.Signals) -> None:
+    def run_action(self, received: signal.Signals) -> None:
         """Run the action of a signal."""
         self.pending.discard(received)
         action = self.actions.get(received)
-        if self.lines.allows(clocks.boot_time()):
+        if self.log_limit.allows(clocks.boot_time()):
             LOG.info("signal", name=received.name, acts=action is not None)
         if action is not None:
             action()
--- a/src/_coltsfootroad/shell/settings.py
+++ b/src/_coltsfootroad/shell/settings.py
@@ -14,7 +14,7 @@
 MAX_PORT = 65_535
 
 
-def check_listen(_, attribute, value) -> None:
+def check_address(_, attribute, value) -> None:
     """Reject what is not `ip:port`."""
     host, _, port = value.rpartition(":")
     valid_port = port.isdigit() and int(port) <= MAX_PORT
@@ -39,7 +39,7 @@
         )
 
 
-LISTEN = {"validator": check_listen}
+LISTEN_ADDRESS = {"validator": check_address}
 
 
 def peer_addresses(seeds: tuple[str, ...], port: int) -> tuple[str, ...]:
@@ -77,11 +77,11 @@
 
     gateway: str = attrs.field(validator=check_name)
     availability_zone: str = ""
-    listen: str = attrs.field(**LISTEN)
+    listen: str = attrs.field(**LISTEN_ADDRESS)
     listen_early: bool = False
-    ready_listen: str = attrs.field(**LISTEN)
-    directory_listen: str = attrs.field(**LISTEN)
-    peer_listen: str = attrs.field(**LISTEN)
+    ready_listen: str = attrs.field(**LISTEN_ADDRESS)
+    directory_listen: str = attrs.field(**LISTEN_ADDRESS)
+    peer_listen: str = attrs.field(**LISTEN_ADDRESS)
     metrics_listen: str = ""
     seeds: tuple[str, ...] = ()
     control_port: int = 0
@@ -130,10 +130,10 @@
 
     entry: str = attrs.field(validator=check_name)
     availability_zone: str = ""
-    listen: str = attrs.field(**LISTEN)
+    listen: str = attrs.field(**LISTEN_ADDRESS)
     advertise: str = ""
     peer_listen: str = ""
-    admin_listen: str = attrs.field(**LISTEN)
+    admin_listen: str = attrs.field(**LISTEN_ADDRESS)
     admin_token: str = attrs.field(validator=check_token)
     endpoint_token: str = ""
     control: tuple[str, ...] = ()
@@ -180,10 +180,10 @@
     """
 
     replica: str = attrs.field(validator=check_name)
-    listen: str = attrs.field(**LISTEN)
+    listen: str = attrs.field(**LISTEN_ADDRESS)
     advertise: str = ""
     availability_zone: str = ""
-    admin_listen: str = attrs.field(**LISTEN)
+    admin_listen: str = attrs.field(**LISTEN_ADDRESS)
     admin_token: str = attrs.field(validator=check_token)
     data_folder: str = ""
     log_level: str = "INFO"
@@ -208,12 +208,12 @@
         """Return where others reach this replica."""
         return self.advertise or self.listen
 
-    def begins_system(self) -> bool:
+    def bootstraps_system(self) -> bool:
         """Return whether this replica is the one that begins the system."""
         peers = sorted(self.peers())
         return self.first_start and bool(peers) and peers[0] == self.address
 
-    def seeds_before(self) -> tuple[str, ...] | None:
+    def preceding_seeds(self) -> tuple[str, ...] | None:
         """Return the seeds that would begin the system before this one.
 
         None if this replica is no seed or does not start for the first time.
@@ -255,8 +255,8 @@
         log_level: Least severe level that is logged.
     """
 
-    listen: str = attrs.field(**LISTEN)
-    admin_listen: str = attrs.field(**LISTEN)
+    listen: str = attrs.field(**LISTEN_ADDRESS)
+    admin_listen: str = attrs.field(**LISTEN_ADDRESS)
     admin_token: str = attrs.field(validator=check_token)
     data_folder: str
     fake_engines: int = 2
@@ -276,8 +276,8 @@
         return Ok(documents.CONVERTER.structure(document, kind))
     except Exception as error:  # noqa: BLE001
         # cattrs raises groups of whatever the hooks and validators raise.
-        faults = documents.explain(error, "$")
-        return Error(f"settings {path}: {faults}")
+        errors = documents.explain(error, "$")
+        return Error(f"settings {path}: {errors}")
 
 
 def split_address(address: str) -> tuple[str, int]:
--- a/src/_coltsfootroad/shell/startsignals.py
+++ b/src/_coltsfootroad/shell/startsignals.py
@@ -11,11 +11,11 @@
 
 from _coltsfootroad.shell import commandline
 
-STDERR = 2
-STOPPING = {_signal.SIGTERM: b"SIGTERM", _signal.SIGINT: b"SIGINT"}
-IGNORED = (_signal.SIGHUP, _signal.SIGUSR1)
-HANDLED = (*STOPPING, *IGNORED)
-STOPPED = b"stopped by %s before it served\n"
+STDERR_FD = 2
+STOP_SIGNALS = {_signal.SIGTERM: b"SIGTERM", _signal.SIGINT: b"SIGINT"}
+IGNORED_SIGNALS = (_signal.SIGHUP, _signal.SIGUSR1)
+HANDLED_SIGNALS = (*STOP_SIGNALS, *IGNORED_SIGNALS)
+STOPPED_MESSAGE = b"stopped by %s before it served\n"
 
 
 def install(arguments: list[str]) -> None:
@@ -28,11 +28,11 @@
     pending until they are handled; they are unblocked here.
     """
     if commandline.is_server(arguments):
-        for number in IGNORED:
+        for number in IGNORED_SIGNALS:
             _signal.signal(number, _signal.SIG_IGN)
-        for number in STOPPING:
-            _signal.signal(number, end)
-    _signal.pthread_sigmask(_signal.SIG_UNBLOCK, HANDLED)
+        for number in STOP_SIGNALS:
+            _signal.signal(number, exit_at_once)
+    _signal.pthread_sigmask(_signal.SIG_UNBLOCK, HANDLED_SIGNALS)
 
 
 def ignore() -> None:
@@ -41,11 +41,11 @@
     The interpreter restores the default action of handled signals, and not of
     ignored ones, when it finalizes.
     """
-    for number in HANDLED:
+    for number in HANDLED_SIGNALS:
         _signal.signal(number, _signal.SIG_IGN)
 
 
-def end(number, _frame) -> None:
+def exit_at_once(number, _frame) -> None:
     """End a process that has not accepted any request, with exit code 0."""
-    write(STDERR, STOPPED % STOPPING[number])
+    write(STDERR_FD, STOPPED_MESSAGE % STOP_SIGNALS[number])
     _exit(0)
--- a/src/_coltsfootroad/shell/traffic.py
+++ b/src/_coltsfootroad/shell/traffic.py
@@ -91,13 +91,13 @@
     def add_metrics(self, metrics: metrics_lib.Metrics) -> None:
         """Register the counts."""
         for direction in Direction:
-            metrics.counter_by(
+            metrics.labelled_counter(
                 f"colts_bytes_{direction.value}",
                 f"Bytes of messages {direction.value}, by kind",
                 "kind",
                 lambda direction=direction: self.sizes(direction),
             )
-            metrics.counter_by(
+            metrics.labelled_counter(
                 f"colts_messages_{direction.value}",
                 f"Messages {direction.value}, by kind",
                 "kind",
--- a/src/_coltsfootroad/shell/web.py
+++ b/src/_coltsfootroad/shell/web.py
@@ -15,8 +15,8 @@
 IDLE_TIMEOUT_S = 300.0
 MAX_HEADER_BYTES = 64 * 1024
 # Unavailable is an ordinary answer, which the part that gives it logs.
-ORDINARY_STATUSES = (503,)
-FAULT_STATUS = 500
+UNLOGGED_STATUSES = (503,)
+MIN_LOGGED_STATUS = 500
 LOG = logs.logger("web")
 JSON_TYPE = "application/json"
 
@@ -42,7 +42,7 @@
 def log_request(handler: tornado.web.RequestHandler) -> None:
     """Log a request that ended in a fault of ours, and no other."""
     status = handler.get_status()
-    if status >= FAULT_STATUS and status not in ORDINARY_STATUSES:
+    if status >= MIN_LOGGED_STATUS and status not in UNLOGGED_STATUSES:
         LOG.warning(
             "{} {} ended with status {}",
             handler.request.method,
@@ -63,9 +63,11 @@
     return json.dumps({"error": detail | more}).encode()
 
 
-def same_secret(given: str, wanted: str) -> bool:
+def secrets_equal(presented: str, expected: str) -> bool:
     """Compare two secrets in constant time; an empty one fits nobody."""
-    return bool(wanted) and hmac.compare_digest(given.encode(), wanted.encode())
+    return bool(expected) and hmac.compare_digest(
+        presented.encode(), expected.encode()
+    )
 
 
 def hash_key(key: str) -> str:
@@ -108,7 +110,7 @@
         """Answer with a value as JSON."""
         self.send_json(200, json.dumps(value).encode())
 
-    def bearer(self) -> str:
+    def bearer_token(self) -> str:
         """Return the bearer token of the request, empty if there is none."""
         header = self.request.headers.get("Authorization", "")
         scheme, _, token = header.partition(" ")
@@ -134,7 +136,7 @@
 
     def prepare(self):
         """Refuse callers without the token."""
-        if not same_secret(self.bearer(), self.token):
+        if not secrets_equal(self.bearer_token(), self.token):
             self.fail(
                 errors.Failure(
                     errors.ErrorCode.UNAUTHORIZED,
