--- a/src/_coltsfootroad/shell/clocks.py
+++ b/src/_coltsfootroad/shell/clocks.py
@@ -1,23 +1,23 @@
-"""The clock that leases and proofs of freshness are judged by."""
+"""Clocks: one for leases and freshness proofs, one for shared times."""
 
 import time
 
 
 def boot_time() -> float:
-    """Return seconds of a steady clock that also counts suspension.
+    """Return seconds of a monotonic clock that includes suspended time.
 
-    The event loop's clock stands still while a VM is suspended, so a lease
-    that is judged by it would outlive the time for which it was granted.
+    The event loop's clock stops while a VM is suspended, so a lease that is
+    measured with it would outlive its term.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def unix_time() -> float:
-    """Return seconds since 1970, for times that processes share."""
+    """Return unix seconds, for times that processes exchange."""
     return time.time()
 
 
-# When this process began, about: programs import this module before the
-# libraries, which take most of a second. Whatever an earlier process promised
-# was promised before.
+# Approximate start of this process: programs import this module before the
+# libraries, which take most of a second. Every lease or vote that an earlier
+# process granted is older.
 PROCESS_STARTED_AT = boot_time()
--- a/src/_coltsfootroad/shell/commandline.py
+++ b/src/_coltsfootroad/shell/commandline.py
@@ -1,13 +1,14 @@
-"""Reads what a command line says before its flags are parsed.
+"""Reads the command line before its flags are parsed.
 
-Imports nothing but built-in modules: signals are handled only after it.
+Imports built-in modules only, as no signal is handled before this module is
+imported.
 """
 
 from sys import orig_argv
 
 SETTINGS_FLAG = "--settings"
 MODULE_FLAG = "-m"
-# Programs that carry out one command and end.
+# Programs that execute one command and exit.
 ONE_SHOT_PROGRAMS = ("ctl", "replay")
 PROGRAM_PREFIX = "colts-"
 SCRIPT_SUFFIX = ".py"
@@ -36,8 +37,8 @@
 ) -> str:
     """Return the name of the program that a process runs.
 
-    While the package of a module is imported, `-m` stands in place of the
-    module's name, which only the interpreter's own arguments hold.
+    While the package of a module is imported, `arguments` holds `-m` in place
+    of the module's name; only the interpreter's own arguments hold the name.
     """
     words = list(interpreter_arguments or orig_argv)
     first = arguments[0] if arguments else ""
@@ -51,6 +52,6 @@
 def is_server(
     arguments: list[str], interpreter_arguments: list[str] | None = None
 ) -> bool:
-    """Return whether a command line starts a program that serves."""
+    """Return whether a command line starts a server program."""
     name = program_name(arguments, interpreter_arguments)
     return has_settings(arguments) and name not in ONE_SHOT_PROGRAMS
--- a/src/_coltsfootroad/shell/dumps.py
+++ b/src/_coltsfootroad/shell/dumps.py
@@ -1,4 +1,4 @@
-"""Dumps a process's state as JSON for people."""
+"""Dumps the state of a process as JSON for operators."""
 
 import enum
 import json
@@ -12,7 +12,7 @@
 
 
 def to_plain(value: object, depth: int = 0) -> object:
-    """Return a value as plain JSON, cut where it would grow large."""
+    """Convert a value to JSON types; truncate long and deep values."""
     if depth > MAX_DEPTH:
         return "..."
     if isinstance(value, enum.Enum):
@@ -34,7 +34,7 @@
 
 
 def attrs_to_plain(value: object, depth: int) -> dict:
-    """Return an attrs object as a map, without secrets and back links."""
+    """Convert an attrs object, without secrets and back references."""
     return {
         field.name: to_plain(getattr(value, field.name), depth + 1)
         for field in attrs.fields(type(value))
@@ -43,5 +43,5 @@
 
 
 def to_json(value: object) -> bytes:
-    """Return the dump of a value."""
+    """Return the dump of a value as JSON."""
     return json.dumps(to_plain(value), indent=1).encode()
--- a/src/_coltsfootroad/shell/earlylistener.py
+++ b/src/_coltsfootroad/shell/earlylistener.py
@@ -1,12 +1,12 @@
 """Opens a program's listener before its libraries are imported.
 
-The pattern it answers: all VMs lose power at once, and callers try twice within
-a second or two. Importing the libraries takes a good part of that on a small
-VM; a connection that is refused meanwhile is one of two tries, while one that
-waits in the listener's queue is served as soon as the program runs.
+After all VMs lose power at once, callers try only twice within a second or two.
+Importing the libraries takes a large part of that time on a small VM. A
+connection that is refused in the meantime is one of the two tries, while one in
+the listener's queue is served as soon as the program runs.
 
-Needs nothing but the standard library. Whatever is wrong is left to the checks
-of the settings and to the listener itself, which come later and say so.
+Uses the standard library only. Errors are ignored here, as the checks of the
+settings and the regular listener report them later.
 """
 
 import json
@@ -14,17 +14,17 @@
 
 from _coltsfootroad.shell import commandline
 
-# Name of the setting that asks for this, and of the one with the address.
+# Keys in the settings file.
 ENABLED_KEY = "listen_early"
 ADDRESS_KEY = "listen"
-# Connections that may wait; more than callers open while a program starts.
+# Queued connections; more than callers open while a program starts.
 BACKLOG = 1_024
 
 listeners: dict[str, socket.socket] = {}
 
 
 def listen(arguments: list[str]) -> None:
-    """Listen where the settings file of a command line says."""
+    """Open the listener that the settings file of a command line asks for."""
     try:
         path = commandline.settings_path(arguments)
         with open(path, encoding="utf-8") as file:
@@ -33,12 +33,15 @@
             address = settings[ADDRESS_KEY]
             listeners[address] = open_listener(address)
     except (OSError, ValueError, LookupError, AttributeError, TypeError):
-        # The settings are read again, by what explains each fault.
+        # The settings are read again later, and each error is reported then.
         return
 
 
 def open_listener(address: str) -> socket.socket:
-    """Return a socket that listens at `ip:port`; raises OSError."""
+    """Return a socket that listens at `ip:port`.
+
+    Raises OSError, or ValueError if the port is not a number.
+    """
     host, _, port = address.rpartition(":")
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -53,5 +56,5 @@
 
 
 def take_listener(address: str) -> socket.socket:
-    """Return the listening socket of an address, open already or new."""
+    """Return the listening socket of an address, opened early or now."""
     return listeners.pop(address, None) or open_listener(address)
--- a/src/_coltsfootroad/shell/endpointclient.py
+++ b/src/_coltsfootroad/shell/endpointclient.py
@@ -1,4 +1,4 @@
-"""The thin adapter between the core's attempts and endpoints over HTTP."""
+"""HTTP client that sends the core's attempts to endpoints."""
 
 import abc
 from collections.abc import Callable
@@ -28,13 +28,13 @@
 ORDER_PATH = "/v1/orders"
 EXPORT_PATH = "/v1/kv/export"
 IMPORT_PATH = "/v1/kv/import"
-# The only curl outcomes before a first byte can have been written.
+# The only curl errors that prove that no byte was written.
 NOT_SENT_CURL_ERRORS = (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
 
 
 @attrs.frozen(kw_only=True)
 class PlainCall:
-    """An HTTP request for a plain service, as the caller made it."""
+    """An HTTP request to a plain service, as the caller sent it."""
 
     method: str
     path: str
@@ -44,9 +44,12 @@
 
 @attrs.frozen(kw_only=True)
 class EngineCall:
-    """What an engine is asked to generate from.
+    """A prompt for an engine.
 
-    `body` is the caller's JSON; `prompt_bytes` the size of its prompt.
+    Attributes:
+        body: The caller's JSON document.
+        chat: Whether it is a chat completion.
+        stream: Whether the caller requests a stream.
     """
 
     body: dict
@@ -55,7 +58,7 @@
 
 
 class EndpointClient(abc.ABC):
-    """Talks to endpoints; every failure says what it proves."""
+    """Sends requests to endpoints; a fault states whether they ran."""
 
     @abc.abstractmethod
     async def generate(
@@ -68,45 +71,45 @@
         remaining_s: float,
         on_chunk: OnChunk,
     ) -> Fault | None:
-        """Run one part of an attempt; None once its stream has ended."""
+        """Run one part of an attempt; return None once its stream ended."""
 
     @abc.abstractmethod
     async def call(
         self, address: str, dispatch: actions.Dispatch, remaining_s: float
     ) -> Result[request_lib.Answer, Fault]:
-        """Make one call of a plain service."""
+        """Send one request to a plain service."""
 
     @abc.abstractmethod
     async def cancel(self, address: str, cancel: actions.Cancel) -> bool:
-        """Return whether the engine confirms that it holds nothing."""
+        """Cancel an attempt; return whether the engine confirms it."""
 
     @abc.abstractmethod
     async def reprioritise(
         self, address: str, change: actions.Reprioritise
     ) -> None:
-        """Change the priority of waiting work; failure does no harm."""
+        """Change the priority of queued work; failures are ignored."""
 
     @abc.abstractmethod
     async def export_kv(
         self, address: str, key: tuple[str, int]
     ) -> Result[str, str]:
-        """Return a handle to the KV cache of an attempt."""
+        """Return a handle of the KV cache of an attempt."""
 
     @abc.abstractmethod
     async def import_kv(
         self, address: str, key: tuple[str, int], handle: str
     ) -> bool:
-        """Return whether an engine has taken the cache behind a handle."""
+        """Import the KV cache of a handle; return whether that succeeded."""
 
     @abc.abstractmethod
     async def order(self, address: str, order: dict) -> Result[dict, str]:
-        """Give an order; return the engine's answer."""
+        """Send an order to an endpoint; return its response."""
 
 
 class HttpEndpointClient(EndpointClient):
-    """Uses tornado's curl client.
+    """Sends requests with tornado's curl client.
 
-    tornado's simple client opens a connection for each request.
+    It reuses connections; tornado's simple client opens one per request.
     """
 
     def __init__(self, max_connections: int):
@@ -117,7 +120,7 @@
     async def generate(
         self, address, dispatch, part, owner, resume_text, remaining_s, on_chunk
     ):
-        """Stream one part from an engine."""
+        """Stream the output of one part from an engine."""
         reader = EventReader(on_chunk)
         document = generate_document(
             dispatch, part, owner, resume_text, remaining_s
@@ -179,7 +182,7 @@
         )
 
     async def post(self, address: str, path: str, document: dict):
-        """Post JSON and return the response, None without one."""
+        """Post JSON; return the response if its status is 200, else None."""
         request = tornado.httpclient.HTTPRequest(
             f"http://{address}{path}",
             method="POST",
@@ -212,15 +215,15 @@
         await self.post(address, PRIORITY_PATH, document)
 
     async def export_kv(self, address, key):
-        """Export the cache of an attempt."""
+        """Export the KV cache of an attempt."""
         document = {"request_id": key[0], "attempt": key[1]}
         response = await self.post(address, EXPORT_PATH, document)
         if response is None:
-            return Error("no answer or a refusal")
+            return Error("no response with status 200")
         return Ok(json.loads(response.body)["handle"])
 
     async def import_kv(self, address, key, handle):
-        """Import a cache for an attempt."""
+        """Import a KV cache for an attempt."""
         document = {
             "request_id": key[0],
             "attempt": key[1],
@@ -229,10 +232,10 @@
         return await self.post(address, IMPORT_PATH, document) is not None
 
     async def order(self, address, order):
-        """Give an order."""
+        """Send an order to an endpoint."""
         response = await self.post(address, ORDER_PATH, order)
         if response is None:
-            return Error("no answer or a refusal")
+            return Error("no response with status 200")
         return Ok(json.loads(response.body))
 
 
@@ -240,7 +243,7 @@
 
 
 def generate_document(dispatch, part, owner, resume_text, remaining_s) -> dict:
-    """Return the JSON that asks an engine for one part of an attempt."""
+    """Return the JSON document that requests one part of an attempt."""
     request = dispatch.request
     return {
         "request_id": request.request_id,
@@ -262,18 +265,21 @@
 
 
 def part_prompt_tokens(dispatch, part) -> int:
-    """Return the tokens of a part; what is cached the engine knows best."""
+    """Return the prompt tokens of a part.
+
+    An engine that runs the complete prompt gets its full length, as it knows
+    best what it has cached.
+    """
     if len(dispatch.parts) == 1:
         return dispatch.request.prompt_tokens
     return part.prompt_tokens
 
 
 def forbid_curl_resends(request: request_lib.Request):
-    """Return a callback that keeps libcurl from sending anything twice.
+    """Return a callback that prevents resends by libcurl, if required.
 
-    On a kept connection that turns out dead, libcurl sends the request once
-    more by itself. A connection of its own rules that out for work that
-    must not run twice.
+    If a reused connection turns out to be closed, libcurl resends the request
+    by itself. A fresh connection prevents this for non-idempotent requests.
     """
     if not request.non_idempotent:
         return None
@@ -286,21 +292,21 @@
 
 
 def classify_error(error: Exception) -> Fault:
-    """Return what a failed exchange proves."""
+    """Return the fault that an error of the HTTP client proves."""
     if getattr(error, "errno", None) in NOT_SENT_CURL_ERRORS:
         return Fault.NOT_SENT
     return Fault.LOST
 
 
 def classify_status(response) -> Fault:
-    """Return what a refusal by status proves."""
+    """Return the fault that an error status proves."""
     if response.headers.get(RAN_HEADER) == "no":
         return Fault.NOT_RUN
     return Fault.LOST
 
 
 class EventReader:
-    """Reads server-sent events whose data is one chunk each."""
+    """Parses server-sent events, each of which holds one chunk."""
 
     def __init__(self, on_chunk: OnChunk):
         self.on_chunk = on_chunk
@@ -308,14 +314,14 @@
         self.ended = False
 
     def feed(self, data: bytes) -> None:
-        """Take bytes as they arrive."""
+        """Parse the events that received bytes complete."""
         self.buffer += data
         while b"\n\n" in self.buffer:
             event, self.buffer = self.buffer.split(b"\n\n", 1)
             self.parse_event(event)
 
     def parse_event(self, event: bytes) -> None:
-        """Hand on the chunk in an event; others are passed over."""
+        """Pass on the chunk in an event; ignore events without one."""
         if not event.startswith(b"data: "):
             return
         try:
--- a/src/_coltsfootroad/shell/entryapi.py
+++ b/src/_coltsfootroad/shell/entryapi.py
@@ -1,4 +1,4 @@
-"""HTTP handlers of an entry: callers, address questions, endpoints."""
+"""HTTP API of an entry for callers and endpoints."""
 
 import json
 
@@ -24,28 +24,28 @@
 
 
 class EntryHandler(web.Handler):
-    """Base of the handlers that work on an entry."""
+    """Base class of an entry's handlers."""
 
     def initialize(self, server):
-        """Keep the entry."""
+        """Store the entry's server and core."""
         self.server = server
         self.core = server.core
         self.request_id = ""
 
     def now(self) -> float:
-        """Return seconds on the loop's clock."""
+        """Return the event loop's time in seconds."""
         return self.server.loop.time()
 
     def on_connection_close(self):
-        """Tell the core that nobody waits any more."""
+        """Close the request's channel when the caller disconnects."""
         if self.request_id:
             self.server.close_channel(self.request_id)
 
     def authenticate_caller(self) -> parsing.Caller | None:
-        """Return who asks, by API key; None after having refused.
+        """Return the caller by its API key; None once a failure is sent.
 
-        An outdated configuration refuses nobody for good: keys and services
-        that it lacks may exist by now.
+        An entry with an outdated configuration sends a failure that callers
+        may retry, since missing keys and services may have been added.
         """
         if not self.core.freshness.is_current(self.now()):
             self.fail_with_addresses(
@@ -56,10 +56,10 @@
                 )
             )
             return None
-        hashed = web.hash_key(self.bearer_token())
+        presented_hash = web.hash_key(self.bearer_token())
         for name, workspace in self.core.config.workspaces.items():
-            for known in workspace.key_sha256:
-                if web.secrets_equal(known, hashed):
+            for key_hash in workspace.key_sha256:
+                if web.secrets_equal(key_hash, presented_hash):
                     return parsing.Caller(
                         workspace=name, settings=workspace, now=self.now()
                     )
@@ -72,8 +72,8 @@
         return None
 
     def fail_with_addresses(self, failure: errors.Failure) -> None:
-        """Answer with a failure, and with other entries where they help."""
-        more = {}
+        """Send a failure, with entries' addresses if fenced or draining."""
+        extra_fields = {}
         if failure.code in (
             errors.ErrorCode.ENTRY_FENCED,
             errors.ErrorCode.ENTRY_DRAINING,
@@ -81,13 +81,13 @@
             found = self.core.addresses_for(
                 self.request.remote_ip, "", self.now()
             )
-            more["addresses"] = list(found.addresses)
-        self.fail(failure, **more)
+            extra_fields["addresses"] = list(found.addresses)
+        self.fail(failure, **extra_fields)
 
     def find_service(
         self, name: str, kind: servicekind.ServiceKind
     ) -> config_lib.Service | None:
-        """Return a service's settings; None after having refused."""
+        """Return a service's settings; None once a failure is sent."""
         service = self.core.config.services.get(name)
         if service is None or service.kind is not kind:
             self.fail(
@@ -109,7 +109,7 @@
         return service
 
     def parse_options(self) -> parsing.RequestOptions | None:
-        """Return the terms in the headers; None after having refused."""
+        """Return the options in the headers; None once a failure is sent."""
         options = parsing.parse_options(self.request.headers)
         if options.is_error():
             self.fail(options.error)
@@ -118,10 +118,10 @@
 
 
 class AddressHandler(EntryHandler):
-    """Tells callers which entries to use."""
+    """Lists the entries that callers may use."""
 
     def get(self):
-        """Answer with addresses, best first, and how long they hold."""
+        """Send addresses in order of preference, and their validity."""
         found = self.core.addresses_for(
             self.request.remote_ip,
             self.get_query_argument("availability_zone", ""),
@@ -136,15 +136,15 @@
 
 
 class CompletionHandler(EntryHandler):
-    """Serves prompts, streamed or whole."""
+    """Serves completions and chat completions, streamed or not."""
 
     def initialize(self, server, chat):
-        """Keep the entry and the form of the answer."""
+        """Store the server and whether the API is the chat API."""
         super().initialize(server)
         self.chat = chat
 
     async def post(self):
-        """Admit a prompt and answer it."""
+        """Submit a prompt to the core and send the output."""
         request = self.read_request()
         if request is None:
             return
@@ -156,13 +156,13 @@
             else:
                 await self.send_completion(channel)
         except tornado.iostream.StreamClosedError:
-            # The caller left; on_connection_close has told the core.
+            # The caller disconnected; on_connection_close closed the channel.
             pass
         finally:
             self.server.close_channel(self.request_id)
 
     def read_request(self) -> request_lib.Request | None:
-        """Return the request; None after having refused."""
+        """Return the parsed request; None once a failure is sent."""
         caller = self.authenticate_caller()
         if caller is None:
             return None
@@ -191,7 +191,7 @@
         return request.ok
 
     async def send_completion(self, channel) -> None:
-        """Wait for the end and answer once."""
+        """Collect the complete output and send it in one response."""
         texts = []
         tokens = 0
         while True:
@@ -209,7 +209,7 @@
                     return
 
     async def send_stream(self, channel) -> None:
-        """Answer with server-sent events, each as it comes."""
+        """Send the output as server-sent events, chunk by chunk."""
         started = False
         while True:
             event = await channel.events.get()
@@ -225,8 +225,8 @@
                     self.write_event(self.chunk_document(event.chunk.data))
                     await self.flush()
                 case actions.Fail():
-                    # The status is sent already: a stream without its end
-                    # mark is not whole, and this says why.
+                    # The status line is already sent. The missing [DONE] event
+                    # marks the stream as incomplete; this one gives the reason.
                     self.write(b"data: ")
                     self.write(web.failure_body(event.failure) + b"\n\n")
                     return
@@ -242,26 +242,26 @@
         self.write(b"data: " + json.dumps(value).encode() + b"\n\n")
 
     def chunk_document(self, text: bytes) -> dict:
-        """Return a piece of the answer in the form of the protocol."""
-        shown = text.decode(errors="replace")
+        """Return a chunk of the output in the format of the API."""
+        content = text.decode(errors="replace")
         choice = {"index": 0, "finish_reason": None}
         if self.chat:
-            choice["delta"] = {"content": shown}
+            choice["delta"] = {"content": content}
             kind = "chat.completion.chunk"
         else:
-            choice["text"] = shown
+            choice["text"] = content
             kind = "text_completion"
         return {"id": self.request_id, "object": kind, "choices": [choice]}
 
     def completion_document(self, text: bytes, tokens: int) -> dict:
-        """Return a whole answer in the form of the protocol."""
-        shown = text.decode(errors="replace")
+        """Return the complete output in the format of the API."""
+        content = text.decode(errors="replace")
         choice = {"index": 0, "finish_reason": "stop"}
         if self.chat:
-            choice["message"] = {"role": "assistant", "content": shown}
+            choice["message"] = {"role": "assistant", "content": content}
             kind = "chat.completion"
         else:
-            choice["text"] = shown
+            choice["text"] = content
             kind = "text_completion"
         return {
             "id": self.request_id,
@@ -272,21 +272,21 @@
 
 
 def stored_text(answer: request_lib.Answer | None) -> bytes:
-    """Return the text of an answer that was stored for resends."""
+    """Return the stored output that a resent request gets, if any."""
     if answer is None:
         return b""
     if answer.content_type != claiming.STREAM_CONTENT_TYPE:
         raise errors.BrokenInvariantError(
-            f"an engine's answer is stored as {answer.content_type!r}"
+            f"stored engine output has content type {answer.content_type!r}"
         )
     return answer.body
 
 
 class ServiceHandler(EntryHandler):
-    """Forwards plain HTTP calls to a service."""
+    """Forwards HTTP requests to plain services."""
 
     async def forward(self, name: str, path: str):
-        """Admit a call and answer with what the service answered."""
+        """Submit a request to the core and send the service's response."""
         caller = self.authenticate_caller()
         if caller is None:
             return
@@ -309,7 +309,7 @@
             self.server.close_channel(self.request_id)
 
     def make_plain_call(self, path: str) -> endpointclient.PlainCall:
-        """Return the call to forward."""
+        """Return the HTTP request to forward."""
         query = f"?{self.request.query}" if self.request.query else ""
         headers = {
             name: value
@@ -324,9 +324,9 @@
         )
 
     def send_answer(self, answer: request_lib.Answer) -> None:
-        """Answer as the service did."""
-        known = answer.status in tornado.web.httputil.responses
-        self.set_status(answer.status, None if known else "Unknown")
+        """Send the service's response."""
+        is_standard = answer.status in tornado.web.httputil.responses
+        self.set_status(answer.status, None if is_standard else "Unknown")
         self.set_header("Content-Type", answer.content_type)
         self.finish(answer.body if answer.status != 204 else None)
 
@@ -334,15 +334,15 @@
 
 
 class EndpointHandler(EntryHandler):
-    """Takes what endpoints say of themselves."""
+    """Receives announcements, loads and cache events from endpoints."""
 
     def initialize(self, server, kind):
-        """Keep the entry and the kind of message."""
+        """Store the server and the type of the messages."""
         super().initialize(server)
-        self.kind = kind
+        self.message_type = kind
 
     def prepare(self):
-        """Refuse endpoints without the token, where one is set."""
+        """Refuse requests without the endpoint token, if one is configured."""
         expected_token = self.server.settings.endpoint_token
         if expected_token and not web.secrets_equal(
             self.bearer_token(), expected_token
@@ -355,16 +355,16 @@
             )
 
     def post(self):
-        """Take one message."""
+        """Decode one message and pass it to the core."""
         document = self.read_json()
         if document is None:
             document = {}
-        if self.kind is endpoints.LoadReport:
+        if self.message_type is endpoints.LoadReport:
             document["measured_at"] = self.now()
         try:
-            message = documents.CONVERTER.structure(document, self.kind)
+            message = documents.CONVERTER.structure(document, self.message_type)
         except Exception as error:  # noqa: BLE001
-            # cattrs raises groups of whatever the hooks raise.
+            # cattrs wraps the exceptions of hooks in exception groups.
             text = documents.explain(error).replace("config", "body", 1)
             self.fail(errors.Failure(errors.ErrorCode.BAD_REQUEST, text))
             return
@@ -378,48 +378,52 @@
         )
 
     def pass_to_core(self, message) -> None:
-        """Give a message to the core."""
+        """Pass a message to the core."""
         method = {
             registry.Announcement: self.core.on_announcement,
             endpoints.LoadReport: self.core.on_load,
             prefixes.CacheEvent: self.core.on_cache_event,
-        }[self.kind]
+        }[self.message_type]
         self.server.run_core(method, message, self.now())
 
 
 class HealthHandler(EntryHandler):
-    """Says whether the entry admits requests."""
+    """Reports whether the entry admits requests."""
 
     def get(self):
-        """Answer 200 while requests are admitted, else 503."""
-        current = self.core.freshness.is_current(self.now())
-        ready = current and not self.core.draining
+        """Send 200 while requests are admitted, else 503."""
+        is_current = self.core.freshness.is_current(self.now())
+        ready = is_current and not self.core.draining
         self.set_status(200 if ready else 503)
         self.finish({"ready": ready, "version": self.core.freshness.version})
 
 
 def routes(server) -> list[tuple]:
-    """Return the routes of callers and endpoints."""
-    parts = {"server": server}
+    """Return the HTTP routes for callers and endpoints."""
+    arguments = {"server": server}
     return [
-        (r"/v1/addresses", AddressHandler, parts),
-        (r"/v1/completions", CompletionHandler, parts | {"chat": False}),
-        (r"/v1/chat/completions", CompletionHandler, parts | {"chat": True}),
-        (r"/services/([^/]+)(/.*)?", ServiceHandler, parts),
+        (r"/v1/addresses", AddressHandler, arguments),
+        (r"/v1/completions", CompletionHandler, arguments | {"chat": False}),
+        (
+            r"/v1/chat/completions",
+            CompletionHandler,
+            arguments | {"chat": True},
+        ),
+        (r"/services/([^/]+)(/.*)?", ServiceHandler, arguments),
         (
             r"/v1/endpoints/announce",
             EndpointHandler,
-            parts | {"kind": registry.Announcement},
+            arguments | {"kind": registry.Announcement},
         ),
         (
             r"/v1/endpoints/load",
             EndpointHandler,
-            parts | {"kind": endpoints.LoadReport},
+            arguments | {"kind": endpoints.LoadReport},
         ),
         (
             r"/v1/endpoints/cache",
             EndpointHandler,
-            parts | {"kind": prefixes.CacheEvent},
+            arguments | {"kind": prefixes.CacheEvent},
         ),
-        (r"/health", HealthHandler, parts),
+        (r"/health", HealthHandler, arguments),
     ]
--- a/src/_coltsfootroad/shell/entryserver.py
+++ b/src/_coltsfootroad/shell/entryserver.py
@@ -1,4 +1,4 @@
-"""Runs the entry core on the loop: carries out its actions and timers."""
+"""Runs an entry's core on the event loop: executes its actions and timers."""
 
 import asyncio
 import contextlib
@@ -37,7 +37,7 @@
 
 @attrs.define
 class ResponseChannel:
-    """The way from the core back to one caller."""
+    """Passes the core's events for one request to its HTTP handler."""
 
     events: asyncio.Queue = attrs.Factory(asyncio.Queue)
     sent_text: list[bytes] = attrs.Factory(list)
@@ -46,7 +46,7 @@
 
 
 class EntryServer:
-    """One entry with its sockets and timers."""
+    """An entry with its sockets, timers and connections."""
 
     def __init__(
         self,
@@ -81,11 +81,11 @@
         )
         self.register_metrics()
 
-    # --- life ------------------------------------------------------------
+    # --- lifecycle -------------------------------------------------------
 
     @property
     def member(self) -> addresses.Member:
-        """Return what the control state is told of this entry."""
+        """Return the record of this entry in the control plane."""
         return addresses.Member(
             entry=self.settings.entry,
             incarnation=self.core.incarnation,
@@ -95,15 +95,15 @@
         )
 
     async def start(self, listen_admin: bool = True) -> None:
-        """Open the sockets and start heartbeats and timers."""
+        """Open the sockets; start the heartbeats and timers."""
         app = operators.application(entryapi.routes(self))
         self.http_server = web.listen(app, self.settings.listen, MAX_BODY_BYTES)
         if listen_admin:
             routes = web.admin_routes(
                 self.settings.admin_token, self.dump, self.metrics
             )
-            parts = {"token": self.settings.admin_token, "server": self}
-            routes.append((r"/admin/drain", DrainHandler, parts))
+            arguments = {"token": self.settings.admin_token, "server": self}
+            routes.append((r"/admin/drain", DrainHandler, arguments))
             self.admin_server = web.listen(
                 operators.application(routes),
                 self.settings.admin_listen,
@@ -117,21 +117,21 @@
         )
 
     async def drain(self) -> None:
-        """Leave without cutting off a request, then stop."""
+        """Finish the requests in flight within the grace period, then stop."""
         self.run_core(self.core.begin_drain, self.loop.time())
-        LOG.info("entry {} is leaving", self.core.owner)
+        LOG.info("entry {} is draining", self.core.owner)
         end = self.loop.time() + self.settings.shutdown_grace_s
         while self.loop.time() < end and not self.is_drained():
             await asyncio.sleep(0.05)
         await self.stop()
 
     def is_drained(self) -> bool:
-        """Return whether nothing is left to do."""
-        busy = self.channels or self.unsettled_claims
-        return self.core.is_drained(self.loop.time()) and not busy
+        """Return whether no request, cancel or claim is pending."""
+        is_busy = self.channels or self.unsettled_claims
+        return self.core.is_drained(self.loop.time()) and not is_busy
 
     async def stop(self) -> None:
-        """Close everything now."""
+        """Close all sockets and connections, and cancel all tasks."""
         for server in (self.http_server, self.admin_server):
             if server is not None:
                 server.stop()
@@ -144,13 +144,13 @@
         LOG.info("entry {} stopped", self.core.owner)
 
     def spawn(self, coroutine) -> None:
-        """Run a coroutine beside the others; its faults end the process."""
+        """Run a coroutine as a task; an exception in it ends the process."""
         task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.on_task_done)
 
     def on_task_done(self, task: asyncio.Task) -> None:
-        """Forget a task; a fault in one is a broken invariant."""
+        """Drop a finished task; treat an exception as a broken invariant."""
         self.tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
@@ -161,7 +161,7 @@
     # --- core ------------------------------------------------------------
 
     def run_core(self, method, *arguments) -> None:
-        """Call the core and carry out what it wants."""
+        """Call a method of the core and execute the actions it returns."""
         try:
             requested_actions = method(*arguments)
         except errors.BrokenInvariantError as error:
@@ -176,12 +176,12 @@
         self.schedule_timer()
 
     def run_timers(self) -> None:
-        """Run the core's timers."""
+        """Run the core's due timers."""
         self.timer = None
         self.run_core(self.core.tick, self.loop.time())
 
     def schedule_timer(self) -> None:
-        """Set the timer to when the core wants it."""
+        """Set the timer to the core's next due time."""
         now = self.loop.time()
         at = max(self.core.next_wake(now), now + MIN_TIMER_DELAY_S)
         if self.timer is not None:
@@ -191,7 +191,7 @@
         self.timer = self.loop.call_at(at, self.run_timers)
 
     def execute(self, action: actions.Action) -> None:
-        """Start what an action asks for."""
+        """Start an action of the core."""
         match action:
             case actions.Dispatch():
                 self.dispatch(action)
@@ -215,14 +215,14 @@
                 self.spawn(self.control.call(release, CONTROL_CALL_TIMEOUT_S))
 
     def submit(self, request: request_lib.Request) -> ResponseChannel:
-        """Give a request to the core; its events come over the channel."""
+        """Submit a request to the core; return the channel of its events."""
         channel = ResponseChannel(started_at=self.loop.time())
         self.channels[request.request_id] = channel
         self.run_core(self.core.submit, request, self.loop.time())
         return channel
 
     def send_to_caller(self, action) -> None:
-        """Hand an event to the caller that waits for it."""
+        """Pass an event to the channel of its request."""
         channel = self.channels.get(action.request_id)
         if channel is None:
             return
@@ -234,7 +234,7 @@
         channel.events.put_nowait(action)
 
     def close_channel(self, request_id: str) -> None:
-        """Note that a caller has its answer or has gone."""
+        """Close the channel of a caller that has its response or is gone."""
         if self.channels.pop(request_id, None) is not None:
             self.run_core(
                 self.core.on_caller_gone, request_id, self.loop.time()
@@ -243,7 +243,7 @@
     # --- endpoints -------------------------------------------------------
 
     def address_of(self, endpoint: str) -> str | None:
-        """Return where an endpoint takes requests."""
+        """Return the address of an endpoint, None if it is unknown."""
         view = self.core.view(endpoint)
         return view.announcement.address if view is not None else None
 
@@ -262,7 +262,7 @@
         part: actions.Part,
         fault: entry_lib.Fault,
     ) -> None:
-        """Tell the core that an attempt failed."""
+        """Report a failed attempt to the core."""
         LOG.debug(
             "attempt {} of {} at {} failed: {}",
             dispatch.attempt,
@@ -282,7 +282,7 @@
     async def generate(
         self, dispatch: actions.Dispatch, part: actions.Part
     ) -> None:
-        """Run one part of an attempt at an engine."""
+        """Run one part of an attempt on an engine."""
         address = self.address_of(part.endpoint)
         remaining_s = dispatch.deadline_at - self.loop.time()
         if address is None or remaining_s <= 0:
@@ -312,14 +312,14 @@
             self.report_failed_attempt(dispatch, part, fault)
 
     def resume_text(self, dispatch: actions.Dispatch) -> str:
-        """Return what the caller has of the answer already."""
+        """Return the output sent so far, which a resumed attempt continues."""
         channel = self.channels.get(dispatch.request.request_id)
         if channel is None or not dispatch.resume_offset:
             return ""
         return b"".join(channel.sent_text).decode(errors="replace")
 
     async def call_service(self, dispatch: actions.Dispatch) -> None:
-        """Make one call of a plain service."""
+        """Send one request to a plain service."""
         part = dispatch.parts[0]
         address = self.address_of(part.endpoint)
         remaining_s = dispatch.deadline_at - self.loop.time()
@@ -340,13 +340,13 @@
         )
 
     async def cancel(self, action: actions.Cancel) -> None:
-        """Cancel an attempt; the core repeats it until it is confirmed."""
+        """Cancel an attempt; the core repeats this until it is confirmed."""
         address = self.address_of(action.endpoint)
         view = self.core.view(action.endpoint)
         if address is None or view is None:
             return
-        plain = view.announcement.kind is servicekind.ServiceKind.PLAIN
-        if not plain and not await self.client.cancel(address, action):
+        is_plain = view.announcement.kind is servicekind.ServiceKind.PLAIN
+        if not is_plain and not await self.client.cancel(address, action):
             return
         self.run_core(
             self.core.on_cancel_confirmed,
@@ -357,19 +357,19 @@
         )
 
     async def reprioritise(self, action: actions.Reprioritise) -> None:
-        """Change a priority at an engine."""
+        """Change the priority of an attempt on an engine."""
         address = self.address_of(action.endpoint)
         if address is not None:
             await self.client.reprioritise(address, action)
 
     def on_dispatch_note(self, note: actions.DispatchNote) -> None:
-        """Take another entry's note of a dispatch."""
+        """Pass a dispatch note of another entry to the core."""
         self.run_core(self.core.on_note, note, self.loop.time())
 
-    # --- control ---------------------------------------------------------
+    # --- control plane ---------------------------------------------------
 
     async def send_heartbeats(self) -> None:
-        """Send heartbeats for as long as the process lives."""
+        """Send heartbeats until the process ends."""
         while True:
             self.heartbeat_requested.clear()
             await self.send_heartbeat()
@@ -380,7 +380,7 @@
                 )
 
     async def send_heartbeat(self) -> None:
-        """Send one heartbeat and take its answer."""
+        """Send one heartbeat and apply the reply."""
         requested_at = self.loop.time()
         request = self.core.sync_request(self.member, requested_at)
         answer = await self.control.call(request, HEARTBEAT_TIMEOUT_S)
@@ -403,7 +403,7 @@
             LOG.info("configuration {} in force", self.core.freshness.version)
 
     async def acquire_claim(self, action: actions.TakeClaim) -> None:
-        """Ask for a claim; the core asks again when nothing comes."""
+        """Request a claim; without an answer the core requests it again."""
         request = action.request
         message = calls.claim_call(action, self.loop.time())
         answer = await self.control.call(message, CONTROL_CALL_TIMEOUT_S)
@@ -416,7 +416,7 @@
             )
 
     async def settle_claim(self, action: actions.SettleClaim) -> None:
-        """Tell how a claim ended, again and again until it is heard."""
+        """Report how a claim ended; repeat until it is acknowledged."""
         message = calls.settle_call(action)
         try:
             while True:
@@ -430,16 +430,16 @@
             self.unsettled_claims -= 1
 
     async def reserve_group(self, action: actions.ReserveGroup) -> None:
-        """Ask for a group of engines; the core asks again by its timer."""
+        """Reserve a group of engines; the core repeats this by a timer."""
         message = calls.reserve_call(action)
         answer = await self.control.call(message, CONTROL_CALL_TIMEOUT_S)
         if answer.is_ok() and isinstance(answer.ok, messages.GroupAnswer):
             self.run_core(self.core.on_group, answer.ok, self.loop.time())
 
-    # --- facts -----------------------------------------------------------
+    # --- state dump and metrics ------------------------------------------
 
     def dump(self) -> bytes:
-        """Return the state of the process for people."""
+        """Return the process state as JSON, for operators."""
         return dumps.to_json(
             {
                 "settings": self.settings,
@@ -493,7 +493,7 @@
     """Shuts the entry down gracefully, as SIGTERM does."""
 
     def post(self):
-        """Begin, and answer with how long addresses still hold."""
+        """Start draining; send how long published addresses remain valid."""
         if not self.server.stop_requested.done():
             self.server.stop_requested.set_result(True)
         validity = self.server.core.config.fleet.address_validity_s
--- a/src/_coltsfootroad/shell/logs.py
+++ b/src/_coltsfootroad/shell/logs.py
@@ -1,8 +1,8 @@
-"""Logging by logbook: prefixed sentences, or one JSON object a line.
+"""Logging with logbook: prefixed text lines, or one JSON object per line.
 
-Structured lines go to standard output through a bounded buffer. When the
-reader of the output is slow, lines are dropped and counted; the program
-never waits for it.
+Structured lines go to standard output through a bounded buffer. If the reader
+of the output is slow, lines are dropped and counted, so that logging never
+blocks the program.
 """
 
 import collections
@@ -16,24 +16,24 @@
     "{record.time:%Y-%m-%dT%H:%M:%S.%f} {record.level_name}"
     " {record.channel}: {record.message}"
 )
-# Lines that wait for a slow reader: about a megabyte.
+# About a megabyte of lines, buffered for a slow reader.
 MAX_BUFFERED_LINES = 4_096
-# Bytes written at once; a pipe takes 64 KiB.
+# Size of one write; a pipe holds 64 KiB.
 CHUNK_BYTES = 32 * 1024
 STDOUT_FD = 1
 ENCODER = msgspec.json.Encoder()
 
 
 def logger(part: str) -> logbook.Logger:
-    """Return the logger of a part; the part's name is the prefix."""
+    """Return the logger of a component, whose name prefixes its lines."""
     return logbook.Logger(part)
 
 
 class LogRateLimit:
-    """Lets some lines of a kind through in each span of time.
+    """Limits the log lines of one kind in each time window.
 
-    What strangers send may come at any rate; the first lines tell as much as
-    all of them.
+    Untrusted input may arrive at any rate, and the first lines are as
+    informative as all of them.
     """
 
     def __init__(self, lines: int, window_s: float):
@@ -43,7 +43,7 @@
         self.line_count = 0
 
     def allows(self, now: float) -> bool:
-        """Return whether one more line may be written at `now`."""
+        """Return whether another line may be written at `now`."""
         if now - self.window_start >= self.window_s:
             self.window_start = now
             self.line_count = 0
@@ -52,7 +52,7 @@
 
 
 class LineBuffer:
-    """Lines on their way to a file descriptor that may not take them."""
+    """Buffers lines for a file descriptor that may not accept them."""
 
     def __init__(self, descriptor: int, limit: int = MAX_BUFFERED_LINES):
         self.descriptor = descriptor
@@ -62,7 +62,7 @@
         self.dropped = 0
 
     def add(self, line: bytes) -> None:
-        """Write a line, or keep it for later, or drop and count it."""
+        """Write or buffer a line; drop and count it if the buffer is full."""
         if len(self.lines) >= self.limit:
             self.dropped += 1
             return
@@ -70,7 +70,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write as much as the descriptor takes without waiting."""
+        """Write as much as the descriptor accepts without blocking."""
         while self.unwritten or self.lines:
             if not self.unwritten:
                 self.unwritten = self.next_chunk()
@@ -79,7 +79,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; what is left cannot be told.
+                # The reader is gone; the buffered lines are lost.
                 self.dropped += len(self.lines) + 1
                 self.lines.clear()
                 self.unwritten = b""
@@ -87,7 +87,7 @@
             self.unwritten = self.unwritten[written:]
 
     def next_chunk(self) -> bytes:
-        """Return some whole lines."""
+        """Remove and return complete lines of about `CHUNK_BYTES`."""
         chunk = bytearray()
         while self.lines and len(chunk) < CHUNK_BYTES:
             chunk += self.lines.popleft()
@@ -95,7 +95,7 @@
 
 
 class JsonHandler(logbook.Handler):
-    """Writes each record as one JSON object with the fields it was given."""
+    """Writes each record as one JSON object with its keyword fields."""
 
     def __init__(self, buffer: LineBuffer, level: str):
         super().__init__(level=level, bubble=False)
@@ -117,14 +117,14 @@
 
 
 def dropped() -> int:
-    """Return how many lines were dropped since the start."""
+    """Return the number of lines dropped since the start."""
     return OUTPUT.dropped
 
 
 def start(level: str, structured: bool = False) -> None:
     """Send log records of at least `level` to the output.
 
-    Sentences go to standard error, structured lines to standard output.
+    Text lines go to standard error, structured lines to standard output.
     """
     logbook.set_datetime_format("utc")
     if structured:
--- a/src/_coltsfootroad/shell/metrics.py
+++ b/src/_coltsfootroad/shell/metrics.py
@@ -1,29 +1,28 @@
-"""OpenTelemetry metrics, pulled as Prometheus text.
+"""OpenTelemetry metrics, served as Prometheus text.
 
-The SDK and its exporter are imported when the metrics are pulled for the first
-time: they take a good part of a program's start, in which a gateway serves
-nobody, and memory, which a VM whose metrics nobody pulls keeps free.
+The SDK and its exporter are imported at the first scrape. Importing them takes
+a large part of a program's start, during which a gateway serves no requests,
+and memory that a VM without scrapes does not need to spend.
 """
 
 from collections.abc import Callable
 
 import attrs
 
-# Bucket borders in seconds for first-token times.
+# Bucket boundaries for the time to first token.
 TTFT_BUCKETS_S = (0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120, 300)
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-# Samples that are kept until the SDK takes them over. Whoever has had more of
-# them loads the SDK.
+# Samples that a histogram buffers before it loads the SDK.
 MAX_PENDING_SAMPLES = 4_096
 
-# None while there is nothing to observe.
+# Returns None while there is no value.
 ReadValue = Callable[[], float | None]
 ReadLabelledValues = Callable[[], dict[str, float]]
 
 
 @attrs.define
 class Histogram:
-    """Samples of seconds, kept here until the SDK takes them."""
+    """A histogram in seconds, which buffers samples until the SDK is loaded."""
 
     name: str
     description: str
@@ -32,7 +31,7 @@
     instrument: object | None = None
 
     def record(self, seconds: float) -> None:
-        """Take a sample."""
+        """Record a sample."""
         if self.instrument is not None:
             self.instrument.record(seconds)
             return
@@ -41,7 +40,7 @@
             self.metrics.load_sdk()
 
     def attach(self, meter) -> None:
-        """Hand all samples over to the SDK."""
+        """Create the SDK's histogram and record the buffered samples in it."""
         self.instrument = meter.create_histogram(
             self.name,
             unit="s",
@@ -55,7 +54,7 @@
 
 @attrs.frozen
 class ObservableMetric:
-    """A value that is read when the metrics are pulled."""
+    """A value that is read at each scrape."""
 
     name: str
     description: str
@@ -64,7 +63,7 @@
 
 @attrs.frozen
 class LabelledMetric:
-    """Values by the word that stands in one label, read likewise."""
+    """Values by the value of one label, read at each scrape."""
 
     name: str
     description: str
@@ -74,7 +73,7 @@
 
 @attrs.define
 class Metrics:
-    """Instruments of one process; pulling them needs no thread."""
+    """Instruments of one process; serving them needs no thread."""
 
     program: str
     gauges: list[ObservableMetric] = attrs.Factory(list)
@@ -89,36 +88,36 @@
         return cls(program)
 
     def gauge(self, name: str, description: str, read: ReadValue) -> None:
-        """Add a gauge that is read when the metrics are pulled."""
+        """Add a gauge that is read at each scrape."""
         self.check_not_loaded()
         self.gauges.append(ObservableMetric(name, description, read))
 
     def counter(self, name: str, description: str, read: ReadValue) -> None:
-        """Add a counter that is read when the metrics are pulled."""
+        """Add a counter that is read at each scrape."""
         self.check_not_loaded()
         self.counters.append(ObservableMetric(name, description, read))
 
     def labelled_counter(
         self, name: str, description: str, label: str, read: ReadLabelledValues
     ) -> None:
-        """Add counters that differ by one label."""
+        """Add a counter with one label."""
         self.check_not_loaded()
         self.labelled.append(LabelledMetric(name, description, label, read))
 
     def histogram(self, name: str, description: str) -> Histogram:
-        """Return a histogram in seconds."""
+        """Add a histogram in seconds and return it."""
         self.check_not_loaded()
         histogram = Histogram(name, description, self)
         self.histograms.append(histogram)
         return histogram
 
     def check_not_loaded(self) -> None:
-        """Raise if an instrument comes too late to be seen."""
+        """Raise RuntimeError after the first scrape, which loads the SDK."""
         if self.registry is not None:
-            raise RuntimeError("instruments are added before the first pull")
+            raise RuntimeError("add instruments before the first scrape")
 
     def load_sdk(self) -> None:
-        """Import the SDK and make the instruments."""
+        """Import the SDK and create the instruments, once."""
         if self.registry is not None:
             return
         from opentelemetry.exporter import prometheus
@@ -151,7 +150,7 @@
             histogram.attach(meter)
 
     def text(self) -> bytes:
-        """Return all metrics as Prometheus text."""
+        """Return all metrics in the Prometheus text format."""
         self.load_sdk()
         import prometheus_client
 
@@ -159,7 +158,7 @@
 
 
 def value_callback(read: ReadValue):
-    """Return a callback of the form that OpenTelemetry calls."""
+    """Return an OpenTelemetry callback that reads one value."""
 
     def callback(_):
         from opentelemetry import metrics as otel
@@ -171,14 +170,14 @@
 
 
 def labelled_callback(labelled: LabelledMetric):
-    """Return a callback that gives one observation for each label."""
+    """Return an OpenTelemetry callback that reads the labelled values."""
 
     def callback(_):
         from opentelemetry import metrics as otel
 
         return [
-            otel.Observation(value, {labelled.label: word})
-            for word, value in labelled.read().items()
+            otel.Observation(value, {labelled.label: label_value})
+            for label_value, value in labelled.read().items()
         ]
 
     return callback
--- a/src/_coltsfootroad/shell/parsing.py
+++ b/src/_coltsfootroad/shell/parsing.py
@@ -1,4 +1,4 @@
-"""Turns callers' HTTP requests into requests of the core."""
+"""Parses callers' HTTP requests into requests of the core."""
 
 import json
 import uuid
@@ -24,9 +24,9 @@
 DEFAULT_MAX_TOKENS = 256
 BLOCK_BYTES = 4_096
 MAX_HASHED_BLOCKS = 512
-# Methods that HTTP defines as safe to repeat.
+# Methods that HTTP defines as idempotent.
 IDEMPOTENT_METHODS = ("GET", "HEAD", "OPTIONS", "PUT", "DELETE")
-# Headers that belong to one connection and are not forwarded.
+# Headers that concern only the connection between caller and entry.
 UNFORWARDED_HEADERS = {
     "connection",
     "keep-alive",
@@ -46,7 +46,16 @@
 
 @attrs.frozen(kw_only=True)
 class RequestOptions:
-    """What the headers of any request say."""
+    """Options that the headers of a request set.
+
+    Attributes:
+        key: Idempotency key, empty if absent.
+        key_time: Unix time at which the key was created.
+        non_idempotent: Whether the request must not run twice.
+        deadline_s: Requested time to the deadline.
+        priority: Requested priority; 0 is the highest.
+        session: Name of the session that the request belongs to.
+    """
 
     key: str = ""
     key_time: float = 0.0
@@ -57,16 +66,16 @@
 
 
 def bad_request(message: str, code=errors.ErrorCode.BAD_REQUEST):
-    """Return the refusal of a malformed request."""
+    """Return a failure for a malformed request."""
     return Error(errors.Failure(code, message))
 
 
 def key_time(key: str) -> float | None:
-    """Return the unix time inside an idempotency key, None without one.
+    """Return the unix time in an idempotency key, None if it holds none.
 
-    A key is `<unix seconds>-<anything>` or a UUID of version 7: a claim may
-    only be forgotten when its key can no longer be admitted, so every key
-    must show its age.
+    A key is `<unix seconds>-<anything>` or a UUID of version 7. Every key must
+    show its age, since a claim may be dropped only when its key is too old to
+    be admitted.
     """
     head, _, rest = key.partition("-")
     if len(head) == 10 and head.isdigit() and rest:
@@ -81,7 +90,7 @@
 
 
 def parse_options(headers) -> Result[RequestOptions, errors.Failure]:
-    """Return the terms in the headers, or which header is wrong."""
+    """Return the options in the headers, or a failure naming the header."""
     key = headers.get(KEY_HEADER, "")
     created_at = key_time(key) if key else 0.0
     if len(key) > MAX_KEY_LENGTH:
@@ -96,9 +105,9 @@
         )
     deadline = parse_number(headers, DEADLINE_HEADER, float)
     priority = parse_number(headers, PRIORITY_HEADER, int)
-    for item in (deadline, priority):
-        if item.is_error():
-            return item
+    for number in (deadline, priority):
+        if number.is_error():
+            return number
     if deadline.ok is not None and not 0 < deadline.ok < float("inf"):
         return bad_request(f"header {DEADLINE_HEADER} must be above 0")
     if priority.ok is not None and not 0 <= priority.ok <= 9:
@@ -121,7 +130,7 @@
 
 
 def parse_number(headers, name: str, kind):
-    """Return a number in a header, None if it is absent."""
+    """Return the number in a header, None if the header is absent."""
     text = headers.get(name)
     if text is None:
         return Ok(None)
@@ -132,7 +141,7 @@
 
 
 def parse_prompt(body: dict, chat: bool) -> Result[str, errors.Failure]:
-    """Return the text of the prompt, or which field is wrong."""
+    """Return the text of the prompt, or a failure naming the field."""
     if not chat:
         prompt = body.get("prompt")
         if not isinstance(prompt, str) or not prompt:
@@ -153,7 +162,7 @@
 
 
 def block_hashes(text: bytes) -> tuple[str, ...]:
-    """Return chained hashes of a prompt's whole blocks."""
+    """Return chained hashes of a prompt's complete blocks."""
     hashes = []
     digest = xxhash.xxh3_64()
     complete_blocks = min(len(text) // BLOCK_BYTES, MAX_HASHED_BLOCKS)
@@ -164,14 +173,14 @@
 
 
 def body_hash(method: str, path: str, body: bytes) -> str:
-    """Return what a resend under the same key must match."""
+    """Return the hash that a resend under the same key must match."""
     digest = xxhash.xxh3_128(f"{method} {path}\n".encode())
     digest.update(body)
     return digest.hexdigest()
 
 
 def parse_output_tokens(body: dict) -> Result[int, errors.Failure]:
-    """Return the bound on generated tokens."""
+    """Return the maximum number of output tokens."""
     value = body.get("max_tokens", DEFAULT_MAX_TOKENS)
     if not isinstance(value, int) or isinstance(value, bool) or value < 1:
         return bad_request(
@@ -182,7 +191,13 @@
 
 @attrs.frozen(kw_only=True)
 class Caller:
-    """Who asks, and by which settings."""
+    """The caller of a request.
+
+    Attributes:
+        workspace: Name of its workspace.
+        settings: Settings of its workspace.
+        now: Arrival time of the request on the event loop's clock.
+    """
 
     workspace: str
     settings: config_lib.Workspace
@@ -198,7 +213,7 @@
     service: config_lib.Service,
     bytes_per_token: float,
 ) -> Result[request_lib.Request, errors.Failure]:
-    """Return the request for an engine."""
+    """Return the request for an engine, or a failure naming the field."""
     prompt = parse_prompt(body, chat)
     if prompt.is_error():
         return prompt
@@ -236,8 +251,8 @@
 ) -> request_lib.Request:
     """Return the request for a plain service.
 
-    A method that HTTP does not define as repeatable is never sent twice,
-    marked or not; the mark and a key add the durable claim.
+    A request is never sent twice if its method is not idempotent or its header
+    says so; with a key it also gets a durable claim.
     """
     non_idempotent = (
         options.non_idempotent or call.method not in IDEMPOTENT_METHODS
@@ -262,11 +277,11 @@
     service_name: str,
     **fields,
 ) -> request_lib.Request:
-    """Return a request with what both kinds share."""
+    """Return a request; `fields` are those that depend on its kind."""
     requested_s = options.deadline_s or service.default_deadline_s
     priority = caller.settings.priority
     if options.priority is not None:
-        # A caller may yield to others but not jump ahead.
+        # A caller may lower its priority, but not raise it.
         priority = max(priority, options.priority)
     return request_lib.Request(
         request_id=uuid.uuid4().hex,
@@ -285,7 +300,7 @@
 
 
 def parse_body(raw: bytes) -> Result[dict, errors.Failure]:
-    """Return a body as a JSON object."""
+    """Return a body as a JSON object that names a service."""
     try:
         body = json.loads(raw)
     except (ValueError, RecursionError):
--- a/src/_coltsfootroad/shell/processsignals.py
+++ b/src/_coltsfootroad/shell/processsignals.py
@@ -1,9 +1,9 @@
-"""Handles the signals of a process from before it serves until it is gone.
+"""Handles the signals of a process from before it serves until it exits.
 
-Handlers are installed once and replaced only by ignoring the signal: a handler
-that is removed leaves the default action, which ends the process, to a signal
-that comes before the next one is in place. Blocking signals meanwhile does not
-help, as threads of libraries have signal masks of their own.
+Handlers are installed once and replaced only by ignoring the signal. Removing a
+handler restores the default action, which ends the process if a signal arrives
+before the next handler is installed. Blocking signals in the meantime does not
+help, as threads of libraries have their own signal masks.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 LOG = logs.logger("signals")
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 HANDLED_SIGNALS = (*STOP_SIGNALS, signal.SIGUSR1, signal.SIGHUP)
-# A terminal and the program that runs in it may both pass on one Ctrl-C.
+# One Ctrl-C may arrive twice: from the terminal and from a parent process.
 MIN_INTERRUPT_GAP_S = 0.5
 WAKEUP_BYTES = 4_096
 LOG_LINES = 10
@@ -25,17 +25,17 @@
 
 
 class ProcessSignals:
-    """What the signals of this process ask for.
+    """Handlers and state of the signals of this process.
 
     Attributes:
-        stopped_by: The signals that have asked for a stop.
-        interrupted_at: When the first SIGINT came, None before it.
-        actions: What to run when a signal comes, on the loop.
-        pending: Signals whose actions wait for the loop; one that comes again
-            meanwhile changes nothing, so that a storm cannot starve the loop.
+        stop_signals: The stop signals that have arrived.
+        first_interrupt_at: When the first SIGINT arrived, None before it.
+        actions: Functions to run on the loop when a signal arrives.
+        pending: Signals whose actions are scheduled on the loop; they are not
+            scheduled again, so that a signal storm cannot starve the loop.
         loop: The loop that runs actions, None before one runs.
-        wakeup: A socket pair that ends the loop's wait when a signal comes.
-        lines: Bounds what a storm of signals writes.
+        wakeup: A socket pair that wakes the loop when a signal arrives.
+        log_limit: Limits the log lines of a signal storm.
     """
 
     def __init__(self):
@@ -48,7 +48,7 @@
         self.log_limit = logs.LogRateLimit(LOG_LINES, LOG_WINDOW_S)
 
     def install(self) -> None:
-        """Handle all signals; before a loop runs a stop is remembered."""
+        """Install all handlers; a stop before a loop runs is recorded."""
         self.stop_signals = set()
         self.first_interrupt_at = None
         self.actions = {}
@@ -57,7 +57,7 @@
             signal.signal(number, self.handle)
 
     def attach(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Run actions on a loop, even one that waits for nothing else."""
+        """Run actions on a loop; signals wake the loop if it is idle."""
         reader, writer = socket.socketpair()
         reader.setblocking(False)
         writer.setblocking(False)
@@ -67,7 +67,7 @@
         self.loop = loop
 
     def ignore(self) -> None:
-        """Let no signal change the exit code of a process that ends."""
+        """Keep signals from replacing the exit code of an ending process."""
         for number in HANDLED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
         self.loop = None
@@ -80,18 +80,18 @@
     def set_action(
         self, number: signal.Signals, action: Callable[[], None]
     ) -> None:
-        """Run an action on the loop each time a signal comes."""
+        """Set the action that runs on the loop when a signal arrives."""
         self.actions[number] = action
 
     def set_stop_action(self, action: Callable[[], None]) -> None:
-        """Run an action once a stop is asked for, at once if it was."""
+        """Set the action of stop signals; run it if one has arrived."""
         for number in STOP_SIGNALS:
             self.set_action(number, action)
         if self.stop_signals:
             action()
 
     def handle(self, number: int, _frame) -> None:
-        """Handle a signal; runs between two instructions of the program."""
+        """Handle a signal; runs between two bytecode instructions."""
         received = signal.Signals(number)
         if received is signal.SIGINT:
             self.on_interrupt()
@@ -107,9 +107,9 @@
             loop.call_soon_threadsafe(self.run_action, received)
 
     def on_interrupt(self) -> None:
-        """End the process at once if its user asks for that at a terminal.
+        """End the process at once on a second Ctrl-C at a terminal.
 
-        A process that SIGTERM stops drains to its end whatever else comes.
+        After SIGTERM, the process drains to its end whatever signals follow.
         """
         now = clocks.boot_time()
         if self.first_interrupt_at is None:
--- a/src/_coltsfootroad/shell/settings.py
+++ b/src/_coltsfootroad/shell/settings.py
@@ -1,4 +1,4 @@
-"""Settings files of the programs, checked when they start."""
+"""Settings files of the programs, validated when a program starts."""
 
 import json
 import pathlib
@@ -15,7 +15,7 @@
 
 
 def check_address(_, attribute, value) -> None:
-    """Reject what is not `ip:port`."""
+    """Reject values other than `ip:port`."""
     host, _, port = value.rpartition(":")
     valid_port = port.isdigit() and int(port) <= MAX_PORT
     if not host or not valid_port:
@@ -23,7 +23,7 @@
 
 
 def check_token(_, attribute, value) -> None:
-    """Reject short secrets; an empty one switches the calls off."""
+    """Reject short tokens; an empty one disables the calls that need it."""
     if value and len(value) < MIN_TOKEN_LENGTH:
         raise ValueError(
             f"{attribute.name} is shorter than {MIN_TOKEN_LENGTH} characters"
@@ -31,7 +31,7 @@
 
 
 def check_name(_, attribute, value) -> None:
-    """Reject names that would break identities and paths."""
+    """Reject names that cannot be part of identities and paths."""
     if not value or any(c in value for c in "/#| \n"):
         raise ValueError(
             f"{attribute.name} is {value!r}, must not be empty or hold"
@@ -43,7 +43,7 @@
 
 
 def peer_addresses(seeds: tuple[str, ...], port: int) -> tuple[str, ...]:
-    """Return the seeds with another port, or as they are for port 0."""
+    """Return the seeds with another port, or unchanged if it is 0."""
     if not port:
         return seeds
     return tuple(f"{split_address(seed)[0]}:{port}" for seed in seeds)
@@ -54,24 +54,24 @@
     """Settings of `colts-gateway`.
 
     Attributes:
-        gateway: Name, unique over the fleet and stable over restarts.
+        gateway: Name, unique in the fleet and stable across restarts.
         availability_zone: Zone of the VM.
         listen: `ip:port` for callers.
-        listen_early: Whether callers may connect while the program starts.
-        ready_listen: `ip:port` that answers whether the gateway is ready.
-        directory_listen: `ip:port` that answers which gateways to use.
+        listen_early: Whether callers can connect while the program starts.
+        ready_listen: `ip:port` of the readiness probe.
+        directory_listen: `ip:port` that lists the gateways to use.
         peer_listen: `ip:port` for datagrams of other gateways.
-        metrics_listen: `ip:port` of the metrics, none if empty.
-        seeds: `ip:port` of some replicas of the control state.
-        control_port: Port at which the seeds listen for gateways, 0 if the
-            seeds name it themselves.
-        staleness_bound_s: Age of the proof that the routes are current past
-            which nothing that needs a key is sent on.
-        shutdown_grace_s: Longest wait for requests in progress.
-        address_validity_s: Time for which callers may keep addresses.
-        retry_ratio: Retries as a share of the requests for a service.
-        retry_slack: Retries beyond that in one window, over all gateways.
-        retry_window_s: Length of that window.
+        metrics_listen: `ip:port` of the metrics; not served if empty.
+        seeds: `ip:port` of some control replicas.
+        control_port: Port at which the seeds listen for gateways; 0 if it is
+            the port in the seeds.
+        staleness_bound_s: Maximum age of the proof that the routes are current;
+            after it no request that needs an API key is forwarded.
+        shutdown_grace_s: Maximum wait for requests in flight.
+        address_validity_s: Time for which callers may cache addresses.
+        retry_ratio: Retries as a fraction of the requests for a service.
+        retry_slack: Further retries in one window, over all gateways.
+        retry_window_s: Length of the window.
         log_level: Least severe level that is logged.
     """
 
@@ -102,7 +102,7 @@
     log_level: str = "INFO"
 
     def control(self) -> tuple[str, ...]:
-        """Return the addresses at which the replicas take calls."""
+        """Return the addresses at which the seeds listen for gateways."""
         return peer_addresses(self.seeds, self.control_port)
 
 
@@ -111,20 +111,20 @@
     """Settings of `colts-entry`.
 
     Attributes:
-        entry: Name, unique over the fleet and stable over restarts.
+        entry: Name, unique in the fleet and stable across restarts.
         availability_zone: Zone of the VM.
         listen: `ip:port` for callers and endpoints.
-        advertise: `ip:port` told to callers; `listen` if empty.
-        peer_listen: `ip:port` for other entries; without one, they learn of
-            this entry's dispatches only by load reports.
-        admin_listen: `ip:port` of dump and metrics.
-        admin_token: Secret of the admin listener.
-        endpoint_token: Secret that endpoints present, none if empty.
-        control: Addresses of the replicas of the control state.
-        sync_interval_s: Seconds between heartbeats.
-        bytes_per_token: For estimating prompt lengths.
-        max_connections: Connections to endpoints at once.
-        shutdown_grace_s: Longest wait for requests in progress.
+        advertise: `ip:port` published to callers; `listen` if empty.
+        peer_listen: `ip:port` for other entries; if empty, they learn of this
+            entry's dispatches only from load reports.
+        admin_listen: `ip:port` of drain requests, state dump and metrics.
+        admin_token: Token that the admin listener requires.
+        endpoint_token: Token that endpoints must present; none if empty.
+        control: Addresses of the control replicas.
+        sync_interval_s: Interval between heartbeats.
+        bytes_per_token: Estimated size of a token of a prompt.
+        max_connections: Maximum concurrent connections to endpoints.
+        shutdown_grace_s: Maximum wait for requests in flight.
         log_level: Least severe level that is logged.
     """
 
@@ -159,23 +159,23 @@
     Attributes:
         replica: Name of this replica.
         listen: `ip:port` for entries and other replicas.
-        advertise: `ip:port` told to them, where something stands between;
-            `listen` if empty.
-        availability_zone: Zone of the VM; gateways of a zone ask the processes
-            of theirs for news.
-        admin_listen: `ip:port` of operators, dump and metrics.
-        admin_token: Secret of operators.
+        advertise: `ip:port` published to them, if it is another one, as behind
+            a proxy; `listen` if empty.
+        availability_zone: Zone of the VM; gateways watch the control plane
+            through processes of their own zone.
+        admin_listen: `ip:port` of the operator API, state dump and metrics.
+        admin_token: Token that the operator API requires.
         data_folder: Folder that holds all durable state; empty on a VM
-            without a disk, where the process only shows the way.
+            without a disk, where the process is only a relay.
         log_level: Least severe level that is logged.
-        seeds: `ip:port` of some replicas, whatever they listen there for;
-            empty where operators add replicas themselves.
-        peer_port: Port at which the seeds listen for replicas, 0 if the
-            seeds name it themselves.
-        first_start: Whether the whole system starts for the first time; the
-            first of the seeds in order then begins it.
-        lost_at_once: Replicas that may be lost at the same time.
-        api_listen: `ip:port` of a platform's own calls, where one is adapted.
+        seeds: `ip:port` of some replicas, with any of their ports; empty if
+            operators add replicas themselves.
+        peer_port: Port at which the seeds listen for replicas; 0 if it is the
+            port in the seeds.
+        first_start: Whether the system starts for the first time; the first
+            seed in sort order then bootstraps it.
+        lost_at_once: Number of simultaneous replica failures to tolerate.
+        api_listen: `ip:port` of the platform's own API, if there is one.
         structured_logs: Whether logs are JSON lines on standard output.
     """
 
@@ -196,7 +196,7 @@
 
     @property
     def required_voters(self) -> int:
-        """Return the replicas that must hold what is acknowledged."""
+        """Return the voters needed to tolerate `lost_at_once` failures."""
         return 2 * self.lost_at_once + 1
 
     def peers(self) -> tuple[str, ...]:
@@ -205,18 +205,19 @@
 
     @property
     def address(self) -> str:
-        """Return where others reach this replica."""
+        """Return the address at which others reach this replica."""
         return self.advertise or self.listen
 
     def bootstraps_system(self) -> bool:
-        """Return whether this replica is the one that begins the system."""
+        """Return whether this replica bootstraps the system."""
         peers = sorted(self.peers())
         return self.first_start and bool(peers) and peers[0] == self.address
 
     def preceding_seeds(self) -> tuple[str, ...] | None:
-        """Return the seeds that would begin the system before this one.
+        """Return the seeds that precede this one in bootstrapping the system.
 
-        None if this replica is no seed or does not start for the first time.
+        Returns None if this replica is not a seed or the system does not start
+        for the first time.
         """
         peers = sorted(self.peers())
         if not self.first_start or self.address not in peers:
@@ -230,8 +231,8 @@
 
     Attributes:
         control: Admin addresses of the replicas.
-        admin_token: Secret of operators.
-        timeout_s: Longest wait for one answer.
+        admin_token: Token that the operator API requires.
+        timeout_s: Maximum wait for one response.
     """
 
     control: tuple[str, ...]
@@ -247,11 +248,11 @@
 
     Attributes:
         listen: `ip:port` for callers and endpoints.
-        admin_listen: `ip:port` of operators, dump and metrics.
-        admin_token: Secret of operators.
+        admin_listen: `ip:port` of the operator API, state dump and metrics.
+        admin_token: Token that the operator API requires.
         data_folder: Folder of the control state.
-        fake_engines: Stand-in engines to start inside, for a first try.
-        config: Configuration to start with when there is none yet.
+        fake_engines: Number of simulated engines to start in the process.
+        config: Initial configuration, used if none is stored.
         log_level: Least severe level that is logged.
     """
 
@@ -265,7 +266,7 @@
 
 
 def load(path: str, kind: type) -> Result[object, str]:
-    """Return checked settings, or one message naming file and key."""
+    """Return validated settings, or a message that names file and key."""
     try:
         document = json.loads(pathlib.Path(path).read_bytes())
     except OSError as error:
@@ -275,12 +276,12 @@
     try:
         return Ok(documents.CONVERTER.structure(document, kind))
     except Exception as error:  # noqa: BLE001
-        # cattrs raises groups of whatever the hooks and validators raise.
+        # cattrs wraps the exceptions of hooks and validators in groups.
         errors = documents.explain(error, "$")
         return Error(f"settings {path}: {errors}")
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return IP number and port of an address."""
+    """Return the IP address and port of an `ip:port`."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/src/_coltsfootroad/shell/startsignals.py
+++ b/src/_coltsfootroad/shell/startsignals.py
@@ -1,7 +1,7 @@
-"""Handles signals while a program loads its libraries.
+"""Handles signals while a program imports its libraries.
 
-Imports nothing but built-in modules: a signal that arrives before the handlers
-are installed ends the process by its default action. The public `signal` module
+Imports built-in modules only: a signal that arrives before the handlers are
+installed ends the process by its default action. The public `signal` module
 imports `enum`, which takes longer than everything here.
 """
 
@@ -19,13 +19,13 @@
 
 
 def install(arguments: list[str]) -> None:
-    """Let no signal end a serving program by its default action.
+    """Keep signals from ending a server program by their default action.
 
-    There is no state to dump yet and no settings to read again. Other programs
-    end by a signal as any command does.
+    SIGHUP and SIGUSR1 are ignored, as there are no settings to reload and no
+    state to dump yet. Other programs keep the default actions of commands.
 
     A supervisor may block signals while it starts a program, so that they stay
-    pending until they are handled; they are unblocked here.
+    pending until handlers are installed; they are unblocked here.
     """
     if commandline.is_server(arguments):
         for number in IGNORED_SIGNALS:
@@ -36,16 +36,16 @@
 
 
 def ignore() -> None:
-    """Let no signal replace the exit code of a process that ends.
+    """Keep signals from replacing the exit code of an ending process.
 
-    The interpreter restores the default action of handled signals, and not of
-    ignored ones, when it finalizes.
+    When the interpreter finalizes, it restores the default action of handled
+    signals, but not of ignored ones.
     """
     for number in HANDLED_SIGNALS:
         _signal.signal(number, _signal.SIG_IGN)
 
 
 def exit_at_once(number, _frame) -> None:
-    """End a process that has not accepted any request, with exit code 0."""
+    """Exit with code 0, as the process has not accepted any request."""
     write(STDERR_FD, STOPPED_MESSAGE % STOP_SIGNALS[number])
     _exit(0)
--- a/src/_coltsfootroad/shell/web.py
+++ b/src/_coltsfootroad/shell/web.py
@@ -1,4 +1,4 @@
-"""What the HTTP handlers of all programs share."""
+"""HTTP server setup and base handlers shared by all programs."""
 
 import hashlib
 import hmac
@@ -14,7 +14,7 @@
 
 IDLE_TIMEOUT_S = 300.0
 MAX_HEADER_BYTES = 64 * 1024
-# Unavailable is an ordinary answer, which the part that gives it logs.
+# Expected responses, logged by the components that send them.
 UNLOGGED_STATUSES = (503,)
 MIN_LOGGED_STATUS = 500
 LOG = logs.logger("web")
@@ -24,7 +24,7 @@
 def listen(
     app: tornado.web.Application, address: str, max_body_bytes: int
 ) -> tornado.httpserver.HTTPServer:
-    """Serve an application on `ip:port`; bounds are set, not left open."""
+    """Serve an application on `ip:port`, with limits on sizes and idle time."""
     app.settings["log_function"] = log_request
     server = tornado.httpserver.HTTPServer(
         app,
@@ -40,7 +40,7 @@
 
 
 def log_request(handler: tornado.web.RequestHandler) -> None:
-    """Log a request that ended in a fault of ours, and no other."""
+    """Log only requests that ended in an internal error."""
     status = handler.get_status()
     if status >= MIN_LOGGED_STATUS and status not in UNLOGGED_STATUSES:
         LOG.warning(
@@ -52,7 +52,7 @@
 
 
 def failure_body(failure: errors.Failure, **more) -> bytes:
-    """Return the JSON body that shows a failure."""
+    """Return the JSON body of a failure."""
     detail = {
         "code": failure.code.value,
         "message": failure.message,
@@ -64,60 +64,60 @@
 
 
 def secrets_equal(presented: str, expected: str) -> bool:
-    """Compare two secrets in constant time; an empty one fits nobody."""
+    """Compare secrets in constant time; an empty expected one never matches."""
     return bool(expected) and hmac.compare_digest(
         presented.encode(), expected.encode()
     )
 
 
 def hash_key(key: str) -> str:
-    """Return the hash under which configuration holds an API key."""
+    """Return the hash of an API key, as the configuration stores it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 class Handler(tornado.web.RequestHandler):
-    """Base of all handlers: typed errors, no default pages."""
+    """Base class of all handlers: typed errors, no default error pages."""
 
     def set_default_headers(self):
-        """Say nothing of the server."""
+        """Remove the Server header."""
         self.clear_header("Server")
 
     def write_error(self, status_code, **kwargs):
-        """Show tornado's own refusals in our form."""
+        """Send tornado's own errors as failures."""
         failure = errors.Failure(errors.ErrorCode.BAD_REQUEST, self._reason)
         if status_code >= 500:
-            # A fault of ours; what had been begun by then is not known.
+            # After an internal error it is unknown whether the request ran.
             failure = errors.Failure(
                 errors.ErrorCode.INTERNAL, self._reason, errors.Ran.UNKNOWN
             )
         self.send_json(status_code, failure_body(failure))
 
     def fail(self, failure: errors.Failure, **more) -> None:
-        """Answer with a failure."""
+        """Send a failure."""
         if failure.retry_after_s is not None:
             seconds = max(1, round(failure.retry_after_s))
             self.set_header("Retry-After", str(seconds))
         self.send_json(failure.http_status, failure_body(failure, **more))
 
     def send_json(self, status: int, body: bytes) -> None:
-        """Answer with a JSON body."""
+        """Send a JSON body."""
         reason = None if status in tornado.web.httputil.responses else "Failed"
         self.set_status(status, reason)
         self.set_header("Content-Type", JSON_TYPE)
         self.finish(body)
 
     def send_value(self, value: object) -> None:
-        """Answer with a value as JSON."""
+        """Send a value as JSON with status 200."""
         self.send_json(200, json.dumps(value).encode())
 
     def bearer_token(self) -> str:
-        """Return the bearer token of the request, empty if there is none."""
+        """Return the bearer token of the request, empty if it has none."""
         header = self.request.headers.get("Authorization", "")
         scheme, _, token = header.partition(" ")
         return token.strip() if scheme.lower() == "bearer" else ""
 
     def read_json(self) -> dict | None:
-        """Return the body as a JSON object, None if it is none."""
+        """Return the body as a JSON object, None if it is not one."""
         try:
             value = json.loads(self.request.body)
         except (ValueError, RecursionError):
@@ -126,16 +126,16 @@
 
 
 class AdminHandler(Handler):
-    """Base of handlers that need the admin token."""
+    """Base class of handlers that require the admin token."""
 
-    def initialize(self, token: str, **parts):
-        """Keep the token and whatever the handler works on."""
+    def initialize(self, token: str, **attributes):
+        """Store the token and the handler's other attributes."""
         self.token = token
-        for name, part in parts.items():
-            setattr(self, name, part)
+        for name, value in attributes.items():
+            setattr(self, name, value)
 
     def prepare(self):
-        """Refuse callers without the token."""
+        """Refuse requests without the admin token."""
         if not secrets_equal(self.bearer_token(), self.token):
             self.fail(
                 errors.Failure(
@@ -146,28 +146,28 @@
 
 
 class DumpHandler(AdminHandler):
-    """Shows the state of the process."""
+    """Serves a dump of the process state."""
 
     def get(self):
-        """Answer with a dump."""
+        """Send the dump."""
         self.send_json(200, self.dump())
 
 
 class MetricsHandler(Handler):
-    """Shows the metrics."""
+    """Serves the metrics."""
 
     def initialize(self, metrics):
-        """Keep the metrics."""
+        """Store the metrics."""
         self.metrics = metrics
 
     def get(self):
-        """Answer with Prometheus text."""
+        """Send the metrics in the Prometheus text format."""
         self.set_header("Content-Type", "text/plain; version=0.0.4")
         self.finish(self.metrics.text())
 
 
 def admin_routes(token: str, dump, metrics) -> list[tuple]:
-    """Return the routes that every program has on its admin listener."""
+    """Return the routes that all admin listeners share."""
     return [
         (r"/admin/dump", DumpHandler, {"token": token, "dump": dump}),
         (r"/metrics", MetricsHandler, {"metrics": metrics}),
