--- a/features/shell/early.feature
+++ b/features/shell/early.feature
@@ -1,23 +1,23 @@
 Feature: A program's listener is open before its libraries are imported
 
-  Scenario: Callers that come while the program starts wait in the queue
-    Given settings that ask for an early listener
-    When a caller connects before the program's loop runs
-    Then the program takes the connection over at the same address
+  Scenario: Callers that connect while the program starts are queued
+    Given settings that enable the early listener
+    When a caller connects before the program's event loop runs
+    Then the program accepts the connection at the same address
 
-  Scenario Outline: <fault> is left to the later checks
+  Scenario Outline: No early listener is opened for <fault>
     Given settings with <fault>
-    Then opening the listener early changes nothing
+    Then no listener is opened early
 
     Examples:
-      | fault                      |
-      | no early listener          |
-      | no address                 |
-      | an address that is none    |
-      | an address in use          |
-      | half a file                |
-      | a list in place of settings |
+      | fault                          |
+      | no early listener              |
+      | no address                     |
+      | an invalid address             |
+      | an address in use              |
+      | a truncated file               |
+      | a list in place of an object   |
 
-  Scenario: Metrics that are pulled late tell of all samples
-    When 3 samples are taken before the metrics are pulled and 2 after
+  Scenario: The first scrape includes the samples recorded before it
+    When 3 samples are recorded before the first scrape and 2 after it
     Then the histogram counts 3, then 5
--- a/features/shell/parsing.feature
+++ b/features/shell/parsing.feature
@@ -1,8 +1,8 @@
-Feature: Callers' input is refused with a typed error that names it
+Feature: Invalid requests are refused with a typed error that names the fault
 
   Scenario Outline: Header <header> with value <value>
-    When a request comes with header <header> set to <value>
-    Then it is refused with "<code>" and words "<words>"
+    When a request has header <header> set to <value>
+    Then it is refused with code "<code>" and a message that contains "<words>"
 
     Examples:
       | header                  | value      | code            | words                    |
@@ -13,9 +13,9 @@
       | X-Colts-Priority        | 11         | bad_request     | must be 0 to 9           |
       | X-Colts-Non-Idempotent  | maybe      | bad_request     | must be true or false    |
 
-  Scenario Outline: Body <body>
-    When a prompt comes with body <body>
-    Then it is refused with "<code>" and words "<words>"
+  Scenario Outline: The body <body>
+    When a completion request has body <body>
+    Then it is refused with code "<code>" and a message that contains "<words>"
 
     Examples:
       | body                                              | code        | words                       |
@@ -25,7 +25,7 @@
       | {"model": "m", "prompt": "x", "max_tokens": 0}    | bad_request | field max_tokens is 0       |
       | {"model": "m", "prompt": "x", "stream": 1}        | bad_request | field stream is 1           |
 
-  Scenario Outline: The key <key> shows its age
+  Scenario Outline: The idempotency key <key> shows its age
     Then the time in key <key> is <seconds>
 
     Examples:
--- a/features/shell/settings.feature
+++ b/features/shell/settings.feature
@@ -1,21 +1,21 @@
-Feature: Settings are checked when a program starts
+Feature: Settings are validated when a program starts
 
-  Scenario Outline: <fault> is named
+  Scenario Outline: The error message names <fault>
     Given entry settings with <key> set to <value>
     When they are loaded
-    Then the message holds "<words>"
+    Then the error message contains "<words>"
 
     Examples:
       | fault             | key           | value       | words                              |
-      | a port            | listen        | "here"      | listen is 'here', must be ip:port  |
+      | an address        | listen        | "here"      | listen is 'here', must be ip:port  |
       | a number as text  | max_connections | "many"    | 'many' is not of type int          |
       | a short secret    | admin_token   | "x"         | admin_token is shorter than 8      |
       | an unknown key    | colour        | 1           | colour                             |
       | a bad name        | entry         | "a/b"       | entry is 'a/b'                     |
 
-  Scenario Outline: The program <program> says what is wrong and exits with 2
+  Scenario Outline: The program <program> reports a usage error and exits with 2
     When the program <program> starts with flags <flags>
-    Then it exits with 2 and says "<words>"
+    Then it exits with 2 and its standard error contains "<words>"
 
     Examples:
       | program | flags              | words                 |
--- a/features/steps/early_steps.py
+++ b/features/steps/early_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what programs do before and after their libraries are loaded."""
+"""Steps for work before and after a program imports its libraries."""
 
 import json
 import socket
@@ -14,85 +14,85 @@
 FLAG = "--settings"
 
 
-def write(context, content: str) -> list[str]:
+def write_settings(context, content: str) -> list[str]:
     """Write a settings file; return the command line that names it."""
     path = context.folder / "settings.json"
     path.write_text(content)
     return ["program", FLAG, str(path)]
 
 
-@given("settings that ask for an early listener")
-def asks(context):
+@given("settings that enable the early listener")
+def enable_early_listener(context):
     context.address = f"127.0.0.1:{ports.free_port()}"
     settings = {"listen": context.address, "listen_early": True}
-    context.arguments = write(context, json.dumps(settings))
+    context.arguments = write_settings(context, json.dumps(settings))
 
 
-@when("a caller connects before the program's loop runs")
-def connects(context):
+@when("a caller connects before the program's event loop runs")
+def connect_caller(context):
     earlylistener.listen(context.arguments)
     host, port = context.address.split(":")
     context.caller = socket.create_connection((host, int(port)), timeout=2)
     context.caller.sendall(b"hello")
 
 
-@then("the program takes the connection over at the same address")
-def takes_over(context):
+@then("the program accepts the connection at the same address")
+def check_accepted(context):
     listener = earlylistener.take_listener(context.address)
     listener.setblocking(True)
     connection, _ = listener.accept()
     assert connection.recv(5) == b"hello"
     assert context.address not in earlylistener.listeners
-    for found in (connection, listener, context.caller):
-        found.close()
+    for opened in (connection, listener, context.caller):
+        opened.close()
 
 
 @given("settings with {fault}")
-def faulty(context, fault):
+def write_faulty_settings(context, fault):
     address = f"127.0.0.1:{ports.free_port()}"
     settings = {"listen": address, "listen_early": True}
-    context.taken = None
+    context.occupied = None
     if fault == "no early listener":
         settings["listen_early"] = False
     elif fault == "no address":
         del settings["listen"]
-    elif fault == "an address that is none":
+    elif fault == "an invalid address":
         settings["listen"] = "nowhere"
     elif fault == "an address in use":
-        context.taken = earlylistener.open_listener(address)
+        context.occupied = earlylistener.open_listener(address)
     content = json.dumps(settings)
-    if fault == "half a file":
+    if fault == "a truncated file":
         content = content[:10]
-    elif fault == "a list in place of settings":
+    elif fault == "a list in place of an object":
         content = "[1]"
-    context.arguments = write(context, content)
+    context.arguments = write_settings(context, content)
 
 
-@then("opening the listener early changes nothing")
-def nothing(context):
+@then("no listener is opened early")
+def check_no_listener(context):
     earlylistener.listen(context.arguments)
     earlylistener.listen(["program", FLAG])
     earlylistener.listen(["program"])
     assert earlylistener.listeners == {}, earlylistener.listeners
-    if context.taken is not None:
-        context.taken.close()
+    if context.occupied is not None:
+        context.occupied.close()
 
 
 @when(
-    "{before:d} samples are taken before the metrics are pulled and {after:d} after"
+    "{before:d} samples are recorded before the first scrape and {after:d} after it"
 )
-def samples(context, before, after):
-    found = metrics.Metrics.start("test")
-    histogram = found.histogram("test_seconds", "Seconds")
+def record_samples(context, before, after):
+    registered = metrics.Metrics.start("test")
+    histogram = registered.histogram("test_seconds", "Seconds")
     context.texts = []
     for count in (before, after):
         for _ in range(count):
             histogram.record(0.2)
-        context.texts.append(found.text().decode())
+        context.texts.append(registered.text().decode())
 
 
 @then("the histogram counts {first:d}, then {second:d}")
-def counts(context, first, second):
+def check_counts(context, first, second):
     for text, count in zip(context.texts, (first, second), strict=True):
         lines = [w for w in text.splitlines() if "seconds_count" in w]
         assert float(lines[0].split()[-1]) == count, lines
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the small features, one group per module."""
+"""Steps for unit-level features, grouped by module."""
 
 import json
 import pathlib
@@ -201,7 +201,7 @@
 
 
 def heartbeat(context, entry, wanted, now, held=None):
-    """Send a heartbeat; remember what comes back."""
+    """Send a heartbeat; record the granted concurrency."""
     holding = messages.Holding(
         workspace="w",
         grant=held[0] if held else 0,
@@ -465,8 +465,8 @@
     )
 
 
-@then('the message holds "{words}"')
-def message_holds(context, words):
+@then('the error message contains "{words}"')
+def error_contains(context, words):
     assert words in context.result.error, context.result
 
 
@@ -476,7 +476,7 @@
 
 
 def run_program(context, program, words):
-    """Run a program to its end."""
+    """Run a program until it exits."""
     context.outcome = subprocess.run(
         [*fleet_lib.module(f"commands.{program}"), *words],
         capture_output=True,
@@ -485,7 +485,7 @@
     )
 
 
-@then('it exits with {code:d} and says "{words}"')
+@then('it exits with {code:d} and its standard error contains "{words}"')
 def exits_with(context, code, words):
     assert context.outcome.returncode == code, context.outcome
     assert words in context.outcome.stderr, context.outcome.stderr
@@ -495,13 +495,13 @@
 # --- parsing -------------------------------------------------------------------
 
 
-@when("a request comes with header {header} set to {value}")
-def with_header(context, header, value):
+@when("a request has header {header} set to {value}")
+def parse_header(context, header, value):
     context.result = parsing.parse_options({header: value})
 
 
-@when("a prompt comes with body {body}")
-def with_body(context, body):
+@when("a completion request has body {body}")
+def parse_body(context, body):
     parsed = parsing.parse_body(body.encode())
     if parsed.is_ok():
         caller = parsing.Caller(
@@ -519,8 +519,8 @@
     context.result = parsed
 
 
-@then('it is refused with "{code}" and words "{words}"')
-def refused_code(context, code, words):
+@then('it is refused with code "{code}" and a message that contains "{words}"')
+def refused_with_code(context, code, words):
     failure = context.result.error
     assert failure.code.value == code, failure
     assert words in failure.message, failure
@@ -528,7 +528,7 @@
 
 
 @then("the time in key {key} is {seconds:d}")
-def time_in_key(context, key, seconds):
+def check_key_time(context, key, seconds):
     assert int(parsing.key_time(key)) == seconds, parsing.key_time(key)
 
 
