--- a/features/shell/stopping.feature
+++ b/features/shell/stopping.feature
@@ -1,10 +1,10 @@
-Feature: A process that stops drains to its end, whatever signals come
+Feature: A stopping process drains to its end, whatever signals arrive
 
-  # A handler that is removed before the signal is ignored leaves a gap in which a
-  # second signal ends a process that has not drained: its streams are cut off.
-  Scenario Outline: <first>, then <then> again and again, does not cut a <program> short
+  # Guards against a handler that is removed before the signal is ignored: in the
+  # gap, a second signal ends a process that has not drained, with open streams.
+  Scenario Outline: A <program> that receives <first>, then repeated <then>, drains
     Given the settings of a <program>
-    When it runs and gets <first>, then <then> without pause until it is gone
+    When it runs and receives <first>, then <then> repeatedly until it exits
     Then it has ended with exit code 0
 
     Examples:
@@ -23,25 +23,27 @@
       | standalone | SIGTERM | SIGTERM |
       | standalone | SIGTERM | SIGUSR1 |
 
-  # The gap itself, met each time: handlers change only to one that the process bears.
-  Scenario Outline: No handler leaves a gap to the default action of <number>
-    When a child gets <number> after each change of its handler
-    Then the child has drained and ended with exit code 0
+  # Sends the signal in that gap: after each change of a handler.
+  Scenario Outline: No change of a handler exposes the default action of <number>
+    When a child receives <number> after each change of its handler
+    Then the child has drained and exited with code 0
 
     Examples:
       | number  |
       | SIGTERM |
 
-  # A stop that comes between the listeners and the wait for one is not lost.
-  Scenario: A stop while a program starts is carried out once it has started
-    When a child gets SIGTERM while it starts
-    Then the child has drained and ended with exit code 0
+  # Guards against losing a stop that arrives after the listeners are opened and
+  # before the program waits for one.
+  Scenario: A program that is stopped while it starts drains once it has started
+    When a child receives SIGTERM while it starts
+    Then the child has drained and exited with code 0
 
-  # Whoever types Ctrl-C twice wants an end; one that is passed on twice does not count.
-  Scenario Outline: <first>, then <then> after <pause> s ends with <code>, drained: <drained>
+  # A second Ctrl-C ends a process at once. One Ctrl-C may arrive twice, from the
+  # terminal and from a parent process, and counts once.
+  Scenario Outline: <first>, then <then> after <pause> s: exit code <code>, drained: <drained>
     Given a child that drains after <first>
-    When it gets <then> after <pause> s
-    Then the child ends with exit code <code>, drained: <drained>
+    When it receives <then> after <pause> s
+    Then the child exits with code <code>, drained: <drained>
 
     Examples:
       | first   | then    | pause | code | drained |
@@ -51,72 +53,73 @@
       | SIGTERM | SIGTERM | 0.7   | 0    | yes     |
       | SIGTERM | SIGHUP  | 0.7   | 0    | yes     |
 
-  Scenario: A program that drains writes its dump on request
+  Scenario: A draining program writes a state dump on SIGUSR1
     Given a child that drains after SIGTERM
-    When it gets SIGUSR1 after 0.1 s
-    Then the child ends with exit code 0, drained: yes
-    And it has written a dump
+    When it receives SIGUSR1 after 0.1 s
+    Then the child exits with code 0, drained: yes
+    And it has written a state dump
 
-  # Guards against a start that a signal ends by its default action, as the
-  # interpreter has not yet run any code of the program.
-  Scenario Outline: A <program> that gets <number> <after> ms after its start <outcome>
+  # Guards against a signal that ends a starting program by its default action,
+  # because the interpreter has not run any code of the program yet.
+  Scenario Outline: A <program> that receives <number> <after> ms after its start <outcome>
     Given the settings of a <program>
     When a supervisor starts it, suspends it after <after> ms and sends <number>
     Then it <outcome>
 
     Examples:
       | program          | number  | after | outcome                |
-      | gateway          | SIGTERM | 0     | ends before it serves  |
-      | gateway          | SIGTERM | 5     | ends before it serves  |
-      | gateway          | SIGTERM | 20    | ends before it serves  |
-      | gateway          | SIGTERM | 40    | ends before it serves  |
-      | gateway          | SIGINT  | 0     | ends before it serves  |
-      | gateway          | SIGINT  | 60    | ends before it serves  |
+      | gateway          | SIGTERM | 0     | exits before it serves |
+      | gateway          | SIGTERM | 5     | exits before it serves |
+      | gateway          | SIGTERM | 20    | exits before it serves |
+      | gateway          | SIGTERM | 40    | exits before it serves |
+      | gateway          | SIGINT  | 0     | exits before it serves |
+      | gateway          | SIGINT  | 60    | exits before it serves |
       | gateway          | SIGHUP  | 0     | serves until it is stopped |
       | gateway          | SIGUSR1 | 0     | serves until it is stopped |
-      | replica          | SIGTERM | 0     | ends before it serves  |
-      | replica          | SIGTERM | 10    | ends before it serves  |
-      | replica          | SIGINT  | 0     | ends before it serves  |
+      | replica          | SIGTERM | 0     | exits before it serves |
+      | replica          | SIGTERM | 10    | exits before it serves |
+      | replica          | SIGINT  | 0     | exits before it serves |
       | replica          | SIGHUP  | 0     | serves until it is stopped |
       | replica          | SIGUSR1 | 20    | serves until it is stopped |
-      | relay            | SIGTERM | 0     | ends before it serves  |
-      | relay            | SIGINT  | 20    | ends before it serves  |
-      | entry            | SIGTERM | 0     | ends before it serves  |
-      | entry            | SIGINT  | 0     | ends before it serves  |
+      | relay            | SIGTERM | 0     | exits before it serves |
+      | relay            | SIGINT  | 20    | exits before it serves |
+      | entry            | SIGTERM | 0     | exits before it serves |
+      | entry            | SIGINT  | 0     | exits before it serves |
       | entry            | SIGUSR1 | 0     | serves until it is stopped |
-      | standalone       | SIGTERM | 0     | ends before it serves  |
-      | platform gateway | SIGTERM | 0     | ends before it serves  |
-      | platform gateway | SIGINT  | 30    | ends before it serves  |
+      | standalone       | SIGTERM | 0     | exits before it serves |
+      | platform gateway | SIGTERM | 0     | exits before it serves |
+      | platform gateway | SIGINT  | 30    | exits before it serves |
       | platform gateway | SIGHUP  | 0     | serves until it is stopped |
-      | platform replica | SIGTERM | 0     | ends before it serves  |
+      | platform replica | SIGTERM | 0     | exits before it serves |
       | platform replica | SIGUSR1 | 0     | serves until it is stopped |
 
-  # Guards against imports that keep a program without handlers while it starts.
+  # Guards against imports that delay the installation of the signal handlers.
   Scenario: Signals are handled before any other module is imported
-    When the programs' package is imported by a bare interpreter
-    Then only built-in modules are there when signals are handled
+    When an interpreter without site modules imports the programs' package
+    Then only built-in modules are imported before the first handler is installed
 
-  # Guards against an exit code that a signal replaces while the interpreter ends.
-  Scenario Outline: A <program> with <fault> keeps its exit code if <number> comes at its end
+  # Guards against a signal that replaces the exit code while the interpreter
+  # finalizes, because the default action has been restored.
+  Scenario Outline: A <program> with <fault> keeps its exit code if <number> arrives at its end
     Given <fault> in the settings of a <program>
-    When it is started and sends itself <number> while its interpreter ends
+    When it is started and sends itself <number> while its interpreter finalizes
     Then it has ended with exit code <code>
 
     Examples:
-      | program | fault          | number  | code |
-      | gateway | nothing wrong  | SIGTERM | 0    |
-      | gateway | no seeds       | SIGTERM | 2    |
-      | gateway | half a file    | SIGTERM | 2    |
-      | gateway | half a file    | SIGINT  | 2    |
-      | gateway | half a file    | SIGHUP  | 2    |
-      | replica | a busy address | SIGTERM | 1    |
-      | replica | a busy address | SIGUSR1 | 1    |
-      | entry   | half a file    | SIGTERM | 2    |
+      | program | fault             | number  | code |
+      | gateway | no fault          | SIGTERM | 0    |
+      | gateway | no seeds          | SIGTERM | 2    |
+      | gateway | a truncated file  | SIGTERM | 2    |
+      | gateway | a truncated file  | SIGINT  | 2    |
+      | gateway | a truncated file  | SIGHUP  | 2    |
+      | replica | an address in use | SIGTERM | 1    |
+      | replica | an address in use | SIGUSR1 | 1    |
+      | entry   | a truncated file  | SIGTERM | 2    |
 
-  # Guards against scripts that take a command that was ended for one that was
-  # carried out, and against commands that outlive their terminal.
-  Scenario Outline: <command> that gets <number> ends by it
-    When the command <command> gets <number> <moment>
+  # Guards against scripts that take an interrupted command for a completed one,
+  # and against commands that outlive their terminal.
+  Scenario Outline: <number> ends <command> <moment>
+    When the command <command> receives <number> <moment>
     Then it has ended with exit code <code>
 
     Examples:
--- a/features/steps/signals_steps.py
+++ b/features/steps/signals_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send signals to single programs."""
+"""Steps that send signals to single processes."""
 
 import json
 import signal
@@ -16,109 +16,111 @@
 from features.support import processstate
 from features.support import signalmodes
 
-SENDING_S = 2.5
-GAP_S = 0.002
-STOP_S = 15.0
-MS = 1_000
-# Modules of the commands that do not bear a program's name.
+SEND_DURATION_S = 2.5
+SEND_INTERVAL_S = 0.002
+STOP_TIMEOUT_S = 15.0
+MS_PER_S = 1_000
+# Modules of the programs whose module has another name.
 MODULES = {"replica": "control", "relay": "control"}
-# Programs as the platform's own scripts start them.
-PLATFORM = "platform "
-STOPPED = "before it served"
-CHILD = [sys.executable, "-m", "features.support.signalchild"]
+# Names of the programs that the platform's own scripts start.
+PLATFORM_PREFIX = "platform "
+STOPPED_MESSAGE = "before it served"
+CHILD_COMMAND = [sys.executable, "-m", "features.support.signalchild"]
 
 
-def address() -> str:
-    """Return an address that nobody listens on."""
+def free_address() -> str:
+    """Return an address that no process listens on."""
     return f"{ports.HOST}:{ports.free_port()}"
 
 
-def settings_of(context, program: str) -> dict:
-    """Return the settings of a program that finds nobody else."""
+def make_settings(context, program: str) -> dict:
+    """Return settings of a program that reaches no other process."""
     if program == "platform replica":
-        return settings_of(context, "replica") | {"api_listen": address()}
-    program = program.removeprefix(PLATFORM)
+        return make_settings(context, "replica") | {
+            "api_listen": free_address()
+        }
+    program = program.removeprefix(PLATFORM_PREFIX)
     if program == "gateway":
         names = ("listen", "ready_listen", "directory_listen", "peer_listen")
-        listen = {name: address() for name in names}
-        return {"gateway": "g", "seeds": [address()], **listen}
-    names = {"listen": address(), "admin_listen": address()}
-    names["admin_token"] = "soak-token"
+        listen = {name: free_address() for name in names}
+        return {"gateway": "g", "seeds": [free_address()], **listen}
+    addresses = {"listen": free_address(), "admin_listen": free_address()}
+    addresses["admin_token"] = "soak-token"
     if program == "entry":
-        names["peer_listen"] = address()
-        return {"entry": "e", "control": [address()], **names}
+        addresses["peer_listen"] = free_address()
+        return {"entry": "e", "control": [free_address()], **addresses}
     if program == "standalone":
-        names["data_folder"] = str(context.folder / "data")
-        return {"fake_engines": 1, **names}
+        addresses["data_folder"] = str(context.folder / "data")
+        return {"fake_engines": 1, **addresses}
     if program == "relay":
-        return {"replica": "r", "seeds": [address()], **names}
+        return {"replica": "r", "seeds": [free_address()], **addresses}
     return {
         "replica": "r",
         "data_folder": str(context.folder / "data"),
-        **names,
+        **addresses,
     }
 
 
 @given("the settings of a {program}")
 def write_settings(context, program):
     path = context.folder / "settings.json"
-    path.write_text(json.dumps(settings_of(context, program)))
-    context.command = [*command_of(program), "--settings", str(path)]
+    path.write_text(json.dumps(make_settings(context, program)))
+    context.command = [*command_line(program), "--settings", str(path)]
 
 
-def command_of(program: str) -> list[str]:
-    """Return how a program is started, without its settings."""
-    if program.startswith(PLATFORM):
-        role = program.removeprefix(PLATFORM)
+def command_line(program: str) -> list[str]:
+    """Return the command line of a program, without its settings."""
+    if program.startswith(PLATFORM_PREFIX):
+        role = program.removeprefix(PLATFORM_PREFIX)
         return [sys.executable, f"platform/{MODULES.get(role, role)}.py"]
     name = MODULES.get(program, program)
     return [sys.executable, "-m", f"_coltsfootroad.commands.{name}"]
 
 
-def wait_until_prepared(process, number=signal.SIGHUP) -> None:
-    """Wait until the interpreter has run the program's first lines."""
+def wait_until_survives(process, number=signal.SIGHUP) -> None:
+    """Wait until the program has replaced a signal's default action."""
     processstate.wait_until(
         lambda: processstate.survives(process.pid, number),
         f"{number.name} would end the program",
     )
 
 
-def runs(process) -> bool:
-    """Return whether a program has loaded what it needs, or has ended."""
-    ended = process.poll() is not None
-    return ended or processstate.has_loaded(process.pid)
+def has_loaded_or_exited(process) -> bool:
+    """Return whether a program has imported its libraries or has exited."""
+    has_exited = process.poll() is not None
+    return has_exited or processstate.has_loaded(process.pid)
 
 
-@when("it is started and gets {number} without pause from its first moments on")
-def send_signals(context, number):
+@when("it is started and receives {number} repeatedly from its start on")
+def send_from_start(context, number):
     number = signal.Signals[number]
     context.process = subprocess.Popen(
         context.command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
     )
     process = context.process
-    wait_until_prepared(process, number)
+    wait_until_survives(process, number)
 
-    def sent_until_it_runs() -> bool:
+    def send_and_check() -> bool:
         process.send_signal(number)
-        return runs(process)
+        return has_loaded_or_exited(process)
 
-    processstate.wait_until(sent_until_it_runs, "the program does not run")
-    end = time.monotonic() + SENDING_S
+    processstate.wait_until(send_and_check, "the program does not run")
+    end = time.monotonic() + SEND_DURATION_S
     while time.monotonic() < end and process.poll() is None:
         process.send_signal(number)
-        time.sleep(GAP_S)
+        time.sleep(SEND_INTERVAL_S)
 
 
-@then("it is told to stop and ends with exit code 0")
-def stops_well(context):
+@then("it is stopped and exits with code 0")
+def stop_and_check(context):
     process = context.process
     try:
         assert process.poll() is None, process.returncode
         process.send_signal(signal.SIGTERM)
-        end = time.monotonic() + STOP_S
+        end = time.monotonic() + STOP_TIMEOUT_S
         while process.poll() is None and time.monotonic() < end:
             process.send_signal(signal.SIGHUP)
-            time.sleep(GAP_S)
+            time.sleep(SEND_INTERVAL_S)
         assert process.poll() == 0, process.returncode
     finally:
         if process.poll() is None:
@@ -126,7 +128,7 @@
         process.wait()
 
 
-@when("it is started and gets SIGTERM while it loads its libraries")
+@when("it is started and receives SIGTERM while it imports its libraries")
 def stop_while_loading(context):
     context.process = subprocess.Popen(
         context.command,
@@ -135,34 +137,36 @@
         text=True,
     )
     process = context.process
-    wait_until_prepared(process, signal.SIGTERM)
+    wait_until_survives(process, signal.SIGTERM)
     assert not processstate.has_loaded(process.pid)
     process.send_signal(signal.SIGTERM)
-    _, context.errors = process.communicate(timeout=STOP_S)
+    _, context.errors = process.communicate(timeout=STOP_TIMEOUT_S)
 
 
-@then("its output says that it stopped before it served")
-def says_so(context):
-    assert STOPPED in context.errors, context.errors
+@then("its output says that it was stopped before it served")
+def check_stop_message(context):
+    assert STOPPED_MESSAGE in context.errors, context.errors
 
 
-@when("it runs and gets SIGTERM without pause until it is gone")
-def stopped_again_and_again(context):
+@when("it runs and receives SIGTERM repeatedly until it exits")
+def stop_repeatedly(context):
     context.process = subprocess.Popen(
         context.command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
     )
-    wait_until_prepared(context.process)
-    # Before it runs, the signal ends it at once, which is no harm.
-    processstate.wait_until(lambda: runs(context.process), "it does not run")
-    time.sleep(SENDING_S)
-    end = time.monotonic() + STOP_S
+    wait_until_survives(context.process)
+    # A signal before the program runs ends it at once, which is correct.
+    processstate.wait_until(
+        lambda: has_loaded_or_exited(context.process), "it does not run"
+    )
+    time.sleep(SEND_DURATION_S)
+    end = time.monotonic() + STOP_TIMEOUT_S
     while time.monotonic() < end and context.process.poll() is None:
         context.process.send_signal(signal.SIGTERM)
-        time.sleep(GAP_S)
+        time.sleep(SEND_INTERVAL_S)
 
 
 @then("it has ended with exit code {code:d}")
-def ended_with(context, code):
+def check_exit_code(context, code):
     process = context.process
     try:
         assert process.poll() == code, process.returncode
@@ -172,166 +176,174 @@
         process.wait()
 
 
-@when("it runs and gets {first}, then {then} without pause until it is gone")
-def stopped_then_signalled(context, first, then):
+@when("it runs and receives {first}, then {then} repeatedly until it exits")
+def stop_then_signal_repeatedly(context, first, then):
     context.process = subprocess.Popen(
         context.command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
     )
     process = context.process
-    wait_until_prepared(process)
-    processstate.wait_until(lambda: runs(process), "it does not run")
+    wait_until_survives(process)
+    processstate.wait_until(
+        lambda: has_loaded_or_exited(process), "it does not run"
+    )
     process.send_signal(signal.Signals[first])
-    end = time.monotonic() + STOP_S
+    end = time.monotonic() + STOP_TIMEOUT_S
     sent = 0
     while time.monotonic() < end and process.poll() is None:
         process.send_signal(signal.Signals[then])
         sent += 1
-        # Pauses of several lengths meet gaps between two handlers.
+        # Varied pauses make it likely to hit a gap between two handlers.
         time.sleep(0.0001 * (sent % 7))
 
 
-@when("a child gets {number} after each change of its handler")
+@when("a child receives {number} after each change of its handler")
 def signal_at_each_change(context, number):
     context.child = subprocess.run(
-        [*CHILD, signalmodes.AT_EACH_CHANGE, number],
+        [*CHILD_COMMAND, signalmodes.AT_EACH_CHANGE, number],
         stdout=subprocess.PIPE,
         input="",
         text=True,
-        timeout=STOP_S,
+        timeout=STOP_TIMEOUT_S,
     )
 
 
-@when("a child gets SIGTERM while it starts")
+@when("a child receives SIGTERM while it starts")
 def stop_while_starting(context):
     context.child = subprocess.run(
-        [*CHILD, signalmodes.STOPPED_WHILE_STARTING],
+        [*CHILD_COMMAND, signalmodes.STOPPED_WHILE_STARTING],
         stdout=subprocess.PIPE,
         text=True,
-        timeout=STOP_S,
+        timeout=STOP_TIMEOUT_S,
     )
 
 
-@then("the child has drained and ended with exit code {code:d}")
-def child_drained(context, code):
+@then("the child has drained and exited with code {code:d}")
+def check_child_drained(context, code):
     words = context.child.stdout.split()
     assert context.child.returncode == code, context.child
     assert signalmodes.DRAINED in words, context.child
 
 
 @given("a child that drains after {number}")
-def draining_child(context, number):
+def start_draining_child(context, number):
     child = subprocess.Popen(
-        [*CHILD, signalmodes.DRAINING],
+        [*CHILD_COMMAND, signalmodes.DRAINING],
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
     )
-    context.add_cleanup(end_child, child)
+    context.add_cleanup(kill_child, child)
     assert child.stdout.readline().strip() == signalmodes.RUNS
     child.send_signal(signal.Signals[number])
     assert child.stdout.readline().strip() == signalmodes.DRAINS
     context.child = child
 
 
-def end_child(child) -> None:
-    """End a child that a failed scenario has left."""
+def kill_child(child) -> None:
+    """Kill a child that a failed scenario has left running."""
     if child.poll() is None:
         child.kill()
     child.communicate()
 
 
-@when("it gets {number} after {pause_s:g} s")
+@when("it receives {number} after {pause_s:g} s")
 def signal_draining_child(context, number, pause_s):
     time.sleep(pause_s)
     context.child.send_signal(signal.Signals[number])
 
 
-@then("the child ends with exit code {code:d}, drained: {drained}")
-def child_ended(context, code, drained):
-    context.output, context.errors = context.child.communicate(timeout=STOP_S)
+@then("the child exits with code {code:d}, drained: {drained}")
+def check_child_exit(context, code, drained):
+    context.output, context.errors = context.child.communicate(
+        timeout=STOP_TIMEOUT_S
+    )
     assert context.child.returncode == code, context.child.returncode
     has_drained = signalmodes.DRAINED in context.output.split()
     assert has_drained == (drained == "yes"), context.output
 
 
-@then("it has written a dump")
-def dump_was_written(context):
+@then("it has written a state dump")
+def check_dump(context):
     assert signalmodes.DUMP in context.errors, context.errors
 
 
 @when(
     "a supervisor starts it, suspends it after {after:d} ms and sends {number}"
 )
-def signal_suspended(context, after, number):
+def signal_while_suspended(context, after, number):
     context.process = launching.start(
         context.command, stdout=subprocess.DEVNULL, stderr=subprocess.PIPE
     )
     context.add_cleanup(reap, context.process)
-    time.sleep(after / MS)
+    time.sleep(after / MS_PER_S)
     context.process.send_signal(signal.SIGSTOP)
     context.process.send_signal(signal.Signals[number])
     context.process.send_signal(signal.SIGCONT)
 
 
 def reap(process) -> None:
-    """End a process that a scenario has left."""
+    """Kill a process that a scenario has left running, and read its output."""
     if process.poll() is None:
         process.kill()
     process.communicate()
 
 
-@then("it ends before it serves")
-def ends_before_it_serves(context):
-    _, errors = context.process.communicate(timeout=STOP_S)
+@then("it exits before it serves")
+def check_exit_before_serving(context):
+    _, errors = context.process.communicate(timeout=STOP_TIMEOUT_S)
     assert context.process.returncode == 0, context.process.returncode
-    assert STOPPED in errors.decode(), errors
+    assert STOPPED_MESSAGE in errors.decode(), errors
 
 
 @then("it serves until it is stopped")
-def serves_until_stopped(context):
+def check_serves_until_stopped(context):
     process = context.process
-    processstate.wait_until(lambda: runs(process), "it does not run")
+    processstate.wait_until(
+        lambda: has_loaded_or_exited(process), "it does not run"
+    )
     assert process.poll() is None, process.returncode
     process.send_signal(signal.SIGTERM)
-    process.communicate(timeout=STOP_S)
+    process.communicate(timeout=STOP_TIMEOUT_S)
     assert process.returncode == 0, process.returncode
 
 
-# Prints what had been imported when the first handler was installed.
-IMPORTED = """
+# Prints the modules that are imported when the first handler is installed.
+PRINT_IMPORTS = """
 import sys
 sys.argv = ["colts-gateway", "--settings=none"]
 before = set(sys.modules)
 import _signal
 install = _signal.signal
-def installed(*words):
+def print_and_install(*arguments):
     _signal.signal = install
     print(*sorted(set(sys.modules) - before))
-    return install(*words)
-_signal.signal = installed
+    return install(*arguments)
+_signal.signal = print_and_install
 import _coltsfootroad.commands
 """
 
 
-@when("the programs' package is imported by a bare interpreter")
-def import_bare(context):
-    # Neither the site's modules nor those of the test.
+@when("an interpreter without site modules imports the programs' package")
+def import_without_site(context):
+    # -S and PYTHONPATH keep out the modules of the site and of the tests.
     context.child = subprocess.run(
-        [sys.executable, "-S", "-c", IMPORTED],
+        [sys.executable, "-S", "-c", PRINT_IMPORTS],
         env={"PYTHONPATH": "src"},
         capture_output=True,
         text=True,
         check=True,
-        timeout=STOP_S,
+        timeout=STOP_TIMEOUT_S,
     )
 
 
-@then("only built-in modules are there when signals are handled")
-def only_builtin(context):
-    found = context.child.stdout.split()
-    assert found, context.child
-    own = [name for name in found if name.startswith("_coltsfootroad")]
-    others = set(found) - set(own) - set(sys.builtin_module_names)
+@then(
+    "only built-in modules are imported before the first handler is installed"
+)
+def check_only_builtin(context):
+    imported = context.child.stdout.split()
+    assert imported, context.child
+    own = [name for name in imported if name.startswith("_coltsfootroad")]
+    others = set(imported) - set(own) - set(sys.builtin_module_names)
     assert not others, others
 
 
@@ -343,46 +355,48 @@
     text = path.read_text()
     if fault == "no seeds":
         path.write_text(json.dumps(json.loads(text) | {"seeds": []}))
-    elif fault == "half a file":
+    elif fault == "a truncated file":
         path.write_text(text[: len(text) // 2])
-    elif fault == "a busy address":
-        context.busy = socket.socket()
-        context.add_cleanup(context.busy.close)
+    elif fault == "an address in use":
+        context.listener = socket.socket()
+        context.add_cleanup(context.listener.close)
         host, port = json.loads(text)["listen"].split(":")
-        context.busy.bind((host, int(port)))
-        context.busy.listen()
+        context.listener.bind((host, int(port)))
+        context.listener.listen()
 
 
-# Runs a program that signals itself once its interpreter finalizes.
-ENDING = """
+# Runs a program that sends itself a signal while its interpreter finalizes.
+SIGNAL_AT_EXIT = """
 import os, runpy, sys
 number, module, sys.argv = int(sys.argv[1]), sys.argv[2], sys.argv[2:]
-class Last:
+class SignalAtExit:
     def __del__(self, kill=os.kill, pid=os.getpid()):
         kill(pid, number)
-sys.last_of_all = Last()
+sys.signal_at_exit = SignalAtExit()
 runpy.run_module(module, run_name="__main__", alter_sys=True)
 """
 
 
-@when("it is started and sends itself {number} while its interpreter ends")
-def signal_at_the_end(context, number):
+@when("it is started and sends itself {number} while its interpreter finalizes")
+def signal_at_exit(context, number):
     _, _, module, *arguments = context.command
     value = str(int(signal.Signals[number]))
     context.process = subprocess.Popen(
-        [sys.executable, "-c", ENDING, value, module, *arguments],
+        [sys.executable, "-c", SIGNAL_AT_EXIT, value, module, *arguments],
         stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
     )
     process = context.process
     context.add_cleanup(reap, process)
-    if context.fault == "nothing wrong":
-        processstate.wait_until(lambda: runs(process), "it does not run")
+    if context.fault == "no fault":
+        processstate.wait_until(
+            lambda: has_loaded_or_exited(process), "it does not run"
+        )
         process.send_signal(signal.SIGTERM)
-    process.wait(STOP_S)
+    process.wait(STOP_TIMEOUT_S)
 
 
-@when("the command {command} gets {number} {moment}")
+@when("the command {command} receives {number} {moment}")
 def signal_command(context, command, number, moment):
     listener = socket.create_server((ports.HOST, 0))
     context.add_cleanup(listener.close)
@@ -399,26 +413,26 @@
             "it blocks signals",
         )
     process.send_signal(signal.Signals[number])
-    process.wait(STOP_S)
+    process.wait(STOP_TIMEOUT_S)
 
 
 def start_command(context, command, listener) -> subprocess.Popen:
-    """Start a command that gets no response from a listener."""
+    """Start a command; the listener that it may call does not respond."""
     name = command.removeprefix("colts-")
-    words = [sys.executable, "-m", f"_coltsfootroad.commands.{name}"]
+    arguments = [sys.executable, "-m", f"_coltsfootroad.commands.{name}"]
     if name == "ctl":
         host, port = listener.getsockname()
         path = context.folder / "ctl.json"
         settings = {"control": [f"{host}:{port}"], "admin_token": "soak-token"}
         path.write_text(json.dumps(settings))
-        words += ["--settings", str(path), "status"]
+        arguments += ["--settings", str(path), "status"]
     else:
-        words += ["examples/traces/lavared-month-end.jsonl"]
-    # What the process of a test ignores, as under nohup, its children ignore.
+        arguments += ["examples/traces/lavared-month-end.jsonl"]
+    # Children inherit ignored signals: a test under nohup ignores SIGHUP.
     before = signal.signal(signal.SIGHUP, signal.SIG_DFL)
     try:
         return launching.start(
-            words, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
+            arguments, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
         )
     finally:
         signal.signal(signal.SIGHUP, before)
--- a/features/support/processstate.py
+++ b/features/support/processstate.py
@@ -1,18 +1,18 @@
-"""Tells when a program that was started has come to run.
+"""Reads from /proc how far a started program is, and waits for it.
 
-Loading its libraries takes 0.3 s on one machine and over 3 s on another, so
-tests wait for what the system shows of the process, not for a time.
+Importing the libraries takes 0.3 s on one machine and over 3 s on another, so
+tests wait for the state of the process instead of a fixed time.
 """
 
 import pathlib
 import signal
 import time
 
-# Longest that a program may take to load its libraries, on a slow machine.
+# Maximum time in which a slow machine imports a program's libraries.
 MAX_START_S = 30.0
 POLL_INTERVAL_S = 0.002
-# Fields of a process's status, each a mask of signals.
 DEFAULT_ACTION = "with the default action"
+# Fields of /proc/<pid>/status, each a mask of signals.
 DISPOSITIONS = {
     "SigBlk": "blocked",
     "SigIgn": "ignored",
@@ -21,7 +21,7 @@
 
 
 def signal_masks(pid: int) -> dict[str, int]:
-    """Return the signal masks that the system shows of a process."""
+    """Return the signal masks of a process from /proc."""
     status = pathlib.Path(f"/proc/{pid}/status").read_text()
     lines = dict(line.split(":\t", 1) for line in status.splitlines())
     return {
@@ -30,24 +30,24 @@
 
 
 def handles(pid: int, number: signal.Signals) -> bool:
-    """Return whether a process handles a signal, which programs do late."""
+    """Return whether a process has a handler for a signal."""
     return bool(signal_masks(pid).get("SigCgt", 0) & mask_bit(number))
 
 
 def handles_immediately(pid: int, number: signal.Signals) -> bool:
-    """Return whether a process runs its handler as soon as a signal comes."""
+    """Return whether a process handles a signal as soon as it arrives."""
     masks = signal_masks(pid)
     is_blocked = masks.get("SigBlk", 0) & mask_bit(number)
     return handles(pid, number) and not is_blocked
 
 
 def survives(pid: int, number: signal.Signals) -> bool:
-    """Return whether a signal would not end a process by accident."""
+    """Return whether a signal would not run its default action."""
     return disposition(pid, number) != DEFAULT_ACTION
 
 
 def disposition(pid: int, number: signal.Signals) -> str:
-    """Return what a signal would do to a process now."""
+    """Describe what a process does on a signal now."""
     masks = signal_masks(pid)
     words = [
         DISPOSITIONS[name]
@@ -58,9 +58,9 @@
 
 
 def has_loaded(pid: int) -> bool:
-    """Return whether a program has loaded its libraries.
+    """Return whether a program has imported its libraries.
 
-    Until then it ignores requests for a dump.
+    Until then it ignores SIGUSR1, which requests a state dump.
     """
     return handles(pid, signal.SIGUSR1)
 
@@ -70,11 +70,11 @@
     return 1 << (number - 1)
 
 
-def wait_until(check, what: str) -> None:
-    """Wait until a check holds; raises AssertionError if it never does."""
+def wait_until(check, failure: str) -> None:
+    """Wait until a check holds; raises AssertionError after a time-out."""
     end = time.monotonic() + MAX_START_S
     while time.monotonic() < end:
         if check():
             return
         time.sleep(POLL_INTERVAL_S)
-    raise AssertionError(f"waited in vain: {what}")
+    raise AssertionError(f"timed out: {failure}")
--- a/features/support/signalchild.py
+++ b/features/support/signalchild.py
@@ -1,4 +1,4 @@
-"""A small program around `common.run_loop`, for tests that send it signals.
+"""A minimal program on `common.run_loop`, for tests that send it signals.
 
 Usage: python -m features.support.signalchild MODE [SIGNAL]
 """
@@ -18,24 +18,24 @@
 
 def send_at_each_change(number: int) -> None:
     """Send a signal to this process after each change of its handler."""
-    change = signal.signal
+    original = signal.signal
 
-    def changed(changed_number, handler):
-        before = change(changed_number, handler)
+    def change_and_send(changed_number, handler):
+        before = original(changed_number, handler)
         if changed_number == number:
             os.kill(os.getpid(), number)
         return before
 
-    signal.signal = changed
+    signal.signal = change_and_send
 
 
 def start_thread() -> None:
-    """Start a thread that blocks no signal, as those of libraries do."""
+    """Start a thread that blocks no signals, as threads of libraries do."""
     threading.Thread(target=time.sleep, args=(DRAIN_S,), daemon=True).start()
 
 
 async def serve(mode: str) -> int:
-    """Run until told to stop, then drain."""
+    """Run until stopped, then drain."""
     if mode == signalmodes.STOPPED_WHILE_STARTING:
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.sleep(0.05)
--- a/features/support/signalmodes.py
+++ b/features/support/signalmodes.py
@@ -1,4 +1,4 @@
-"""What the child program of the signal tests can do and says."""
+"""Modes and output lines of the child program of the signal tests."""
 
 AT_EACH_CHANGE = "at-each-change"
 STOPPED_WHILE_STARTING = "stopped-while-starting"
