--- a/src/_coltsfootroad/shell/earlylistener.py
+++ b/src/_coltsfootroad/shell/earlylistener.py
@@ -1,6 +1,6 @@
 """Opens a program's listener before its libraries are imported.
 
-After all VMs lose power at once, callers try only twice within a second or two.
+After a power failure of all VMs, callers try only twice within a second or two.
 Importing the libraries takes a large part of that time on a small VM. A
 connection that is refused in the meantime is one of the two tries, while one in
 the listener's queue is served as soon as the program runs.
@@ -24,7 +24,7 @@
 
 
 def listen(arguments: list[str]) -> None:
-    """Open the listener that the settings file of a command line asks for."""
+    """Open the listener if the settings file of a command line enables it."""
     try:
         path = commandline.settings_path(arguments)
         with open(path, encoding="utf-8") as file:
--- a/src/_coltsfootroad/shell/entryserver.py
+++ b/src/_coltsfootroad/shell/entryserver.py
@@ -37,7 +37,14 @@
 
 @attrs.define
 class ResponseChannel:
-    """Passes the core's events for one request to its HTTP handler."""
+    """Passes the core's events for one request to its HTTP handler.
+
+    Attributes:
+        events: Output, end or failure of the request, in order.
+        sent_text: Output that the caller has been sent.
+        started_at: When the request was submitted.
+        first_token_at: When its first output arrived, None before it.
+    """
 
     events: asyncio.Queue = attrs.Factory(asyncio.Queue)
     sent_text: list[bytes] = attrs.Factory(list)
@@ -183,12 +190,12 @@
     def schedule_timer(self) -> None:
         """Set the timer to the core's next due time."""
         now = self.loop.time()
-        at = max(self.core.next_wake(now), now + MIN_TIMER_DELAY_S)
+        due_at = max(self.core.next_wake(now), now + MIN_TIMER_DELAY_S)
         if self.timer is not None:
-            if self.timer.when() <= at:
+            if self.timer.when() <= due_at:
                 return
             self.timer.cancel()
-        self.timer = self.loop.call_at(at, self.run_timers)
+        self.timer = self.loop.call_at(due_at, self.run_timers)
 
     def execute(self, action: actions.Action) -> None:
         """Start an action of the core."""
--- a/src/_coltsfootroad/shell/metrics.py
+++ b/src/_coltsfootroad/shell/metrics.py
@@ -2,7 +2,7 @@
 
 The SDK and its exporter are imported at the first scrape. Importing them takes
 a large part of a program's start, during which a gateway serves no requests,
-and memory that a VM without scrapes does not need to spend.
+and memory, which a VM whose metrics are not scraped keeps free.
 """
 
 from collections.abc import Callable
@@ -112,7 +112,7 @@
         return histogram
 
     def check_not_loaded(self) -> None:
-        """Raise RuntimeError after the first scrape, which loads the SDK."""
+        """Raise RuntimeError if the SDK is loaded, as after a scrape."""
         if self.registry is not None:
             raise RuntimeError("add instruments before the first scrape")
 
--- a/src/_coltsfootroad/shell/parsing.py
+++ b/src/_coltsfootroad/shell/parsing.py
@@ -277,7 +277,7 @@
     service_name: str,
     **fields,
 ) -> request_lib.Request:
-    """Return a request; `fields` are those that depend on its kind."""
+    """Return a request; `fields` depend on the kind of its service."""
     requested_s = options.deadline_s or service.default_deadline_s
     priority = caller.settings.priority
     if options.priority is not None:
--- a/src/_coltsfootroad/shell/startsignals.py
+++ b/src/_coltsfootroad/shell/startsignals.py
@@ -22,7 +22,8 @@
     """Keep signals from ending a server program by their default action.
 
     SIGHUP and SIGUSR1 are ignored, as there are no settings to reload and no
-    state to dump yet. Other programs keep the default actions of commands.
+    state to dump yet. Other programs keep the default actions, so that a signal
+    ends them as it ends any command.
 
     A supervisor may block signals while it starts a program, so that they stay
     pending until handlers are installed; they are unblocked here.
