--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -37,7 +37,7 @@
 
 
 @given("256 arrivals of {short:d} tokens and {count:d} of {long:d} tokens")
-def arrivals(context, short, count, long):
+def observe_arrivals(context, short, count, long):
     context.bands = lengths.LengthBands()
     for _ in range(count):
         context.bands.observe(long)
@@ -46,12 +46,12 @@
 
 
 @then("the short border is {border:d}")
-def short_border(context, border):
+def check_short_border(context, border):
     assert context.bands.short_border == border, context.bands.short_border
 
 
 @then("a prompt of {tokens:d} tokens is in band {band:d}")
-def in_band(context, tokens, band):
+def check_band(context, tokens, band):
     assert context.bands.band(tokens) == band
 
 
@@ -59,7 +59,7 @@
 
 
 def prompt(name, workspace, tokens):
-    """Return a request of some cost."""
+    """Return a request whose prompt has some tokens."""
     return request_lib.Request(
         request_id=name,
         workspace=workspace,
@@ -72,7 +72,7 @@
 
 
 @given('"big" queues {a:d} prompts of {x:d} tokens and "small" {b:d} of {y:d}')
-def two_workspaces(context, a, x, b, y):
+def queue_two_workspaces(context, a, x, b, y):
     context.queue = fairqueue.FairQueue()
     for name, count, tokens in (("big", a, x), ("small", b, y)):
         for number in range(count):
@@ -86,27 +86,35 @@
 
 @when("{tokens:d} tokens are dispatched with weights {big:d} and {small:d}")
 def dispatch_weighted(context, tokens, big, small):
-    context.got = {"big": 0, "small": 0}
+    context.dispatched_tokens = {"big": 0, "small": 0}
     weights = {"big": big, "small": small}
-    while sum(context.got.values()) < tokens:
+    while sum(context.dispatched_tokens.values()) < tokens:
         chosen = context.queue.select(lambda _: True)
         context.queue.dispatched(chosen, weights[chosen.workspace])
-        context.got[chosen.workspace] += chosen.cost_tokens
+        context.dispatched_tokens[chosen.workspace] += chosen.cost_tokens
 
 
 @then('"big" and "small" have got about the same')
 def check_same_tokens(context):
-    assert abs(context.got["big"] - context.got["small"]) <= 1_000
+    assert (
+        abs(
+            context.dispatched_tokens["big"]
+            - context.dispatched_tokens["small"]
+        )
+        <= 1_000
+    )
 
 
 @then('"big" has got about {times:d} times what "small" has')
 def check_ratio(context, times):
-    ratio = context.got["big"] / context.got["small"]
+    ratio = (
+        context.dispatched_tokens["big"] / context.dispatched_tokens["small"]
+    )
     assert abs(ratio - times) < 0.5, ratio
 
 
 @given("{a:d} long prompt of {x:d} tokens and {b:d} short ones of {y:d} wait")
-def long_and_short(context, a, x, b, y):
+def queue_long_and_short(context, a, x, b, y):
     context.queue = fairqueue.FairQueue()
     for number in range(a):
         context.queue.push(prompt(f"long{number}", "w", x), 2)
@@ -115,7 +123,7 @@
 
 
 @then("the long prompt is dispatched after {count:d} short ones")
-def check_turn(context, count):
+def check_long_turn(context, count):
     for number in range(count + 1):
         chosen = context.queue.select(lambda _: True)
         context.queue.dispatched(chosen, 1)
@@ -137,13 +145,13 @@
 
 
 @then('it is refused with words "{words}"')
-def refused_with_words(context, words):
+def check_refusal(context, words):
     assert context.result.is_error()
     assert words in context.result.error.message, context.result.error
 
 
 @when("{patch} is merged into {target}")
-def merge(context, patch, target):
+def merge_patch(context, patch, target):
     context.document = config_lib.merge_patch(
         json.loads(target), json.loads(patch)
     )
@@ -161,8 +169,8 @@
 def apply_events(context, events):
     context.index = prefixes.PrefixIndex()
     for event in events.split():
-        number, _, marks = event.partition(":")
-        pairs = list(zip(marks[::2], marks[1::2], strict=True))
+        number, _, changes = event.partition(":")
+        pairs = list(zip(changes[::2], changes[1::2], strict=True))
         context.index.apply(
             prefixes.CacheEvent(
                 endpoint="e",
@@ -181,9 +189,9 @@
 
 
 @then("the believed share of blocks a, b is {share:g}")
-def believed(context, share):
-    found = context.index.cached_share("e", ("a", "b"), context.now)
-    assert found == share, found
+def check_cached_share(context, share):
+    cached = context.index.cached_share("e", ("a", "b"), context.now)
+    assert cached == share, cached
 
 
 # --- shares --------------------------------------------------------------------
@@ -195,12 +203,12 @@
 
 
 @given('entries "a" and "b" and a limit of 100 requests')
-def share_table(context):
-    context.kept = shares.ShareTable(started_at=0.0)
-    context.held = {}
+def create_share_table(context):
+    context.shares = shares.ShareTable(started_at=0.0)
+    context.granted = {}
 
 
-def heartbeat(context, entry, wanted, now, held=None):
+def send_heartbeat(context, entry, wanted, now, held=None):
     """Send a heartbeat; record the granted concurrency."""
     holding = messages.Holding(
         workspace="w",
@@ -216,43 +224,43 @@
         demands=(limits.Demand(workspace="w", concurrency=wanted),),
         holdings=(holding,) if held else (),
     )
-    found = context.kept.on_sync(entry, request, LIMITED, 2, now)
-    context.held[entry] = found[0].concurrency if found else 0
+    granted = context.shares.on_sync(entry, request, LIMITED, 2, now)
+    context.granted[entry] = granted[0].concurrency if granted else 0
 
 
 @when('"a" wants 200 and "b" wants 0 at {now:d} s')
-def a_wants(context, now):
-    heartbeat(context, "a", 200, float(now))
-    assert context.held["a"] >= 80, context.held
+def request_for_a(context, now):
+    send_heartbeat(context, "a", 200, float(now))
+    assert context.granted["a"] >= 80, context.granted
 
 
 @when('"b" wants 200 and "a" is silent at {now:d} s')
-def b_wants(context, now):
-    heartbeat(context, "b", 200, float(now))
+def request_for_b(context, now):
+    send_heartbeat(context, "b", 200, float(now))
 
 
 @then('"b" holds what "a" does not, and at {now:d} s nearly everything')
-def b_holds(context, now):
-    assert context.held["a"] + context.held["b"] <= 100, context.held
-    heartbeat(context, "b", 200, float(now))
-    assert context.held["b"] >= 80, context.held
+def check_share_of_b(context, now):
+    assert context.granted["a"] + context.granted["b"] <= 100, context.granted
+    send_heartbeat(context, "b", 200, float(now))
+    assert context.granted["b"] >= 80, context.granted
 
 
 @when('"a" holds {held:d} and wants {wanted:d} at {now:d} s')
-def a_holds(context, held, wanted, now):
-    heartbeat(context, "a", wanted, float(now), (7, held))
+def request_with_holding(context, held, wanted, now):
+    send_heartbeat(context, "a", wanted, float(now), (7, held))
 
 
 @then('"a" is given {given_share:d}')
-def a_given(context, given_share):
-    assert context.held["a"] == given_share, context.held
+def check_share_of_a(context, given_share):
+    assert context.granted["a"] == given_share, context.granted
 
 
 # --- claims --------------------------------------------------------------------
 
 
-def take(table, key, age, now=NOW):
-    """Take a claim on a key of some age."""
+def take_claim(table, key, age, now=NOW):
+    """Take a claim on a key that was created `age` seconds ago."""
     command = messages.TakeClaim(
         workspace="w",
         key=key,
@@ -265,35 +273,35 @@
 
 
 @when("a claim on a key of age {age:d} is taken")
-def take_aged(context, age):
-    context.claim = take(claims.ClaimTable(), "k", age)
+def take_aged_claim(context, age):
+    context.claim = take_claim(claims.ClaimTable(), "k", age)
 
 
 @then('its status is "{status}"')
-def claim_status(context, status):
+def check_claim_status(context, status):
     assert context.claim.status.value == status, context.claim
 
 
 @when("{count:d} claims are taken and two days pass")
-def take_many(context, count):
-    context.kept = claims.ClaimTable()
+def take_many_claims(context, count):
+    context.claims = claims.ClaimTable()
     for number in range(count):
-        take(context.kept, f"k{number}", 1)
-    context.claim = take(
-        context.kept, "k1", 2 * RETENTION_S, NOW + 2 * RETENTION_S
+        take_claim(context.claims, f"k{number}", 1)
+    context.claim = take_claim(
+        context.claims, "k1", 2 * RETENTION_S, NOW + 2 * RETENTION_S
     )
 
 
 @then('no claim is kept, and the old key is "{status}"')
-def none_kept(context, status):
-    assert not context.kept.claims and not context.kept.by_age
-    claim_status(context, status)
+def check_no_claim(context, status):
+    assert not context.claims.claims and not context.claims.by_age
+    check_claim_status(context, status)
 
 
 @when("a claim is settled with an answer of {size:d} bytes")
-def settle_large(context, size):
+def settle_with_answer(context, size):
     table = claims.ClaimTable()
-    take(table, "k", 1)
+    take_claim(table, "k", 1)
     table.settle(
         messages.SettleClaim(
             workspace="w",
@@ -303,12 +311,12 @@
             answer=request_lib.Answer(status=200, body=b"x" * size),
         )
     )
-    context.claim = take(table, "k", 1)
+    context.claim = take_claim(table, "k", 1)
 
 
 @then('a resend is told "{status}"')
-def resend_told(context, status):
-    claim_status(context, status)
+def check_resend(context, status):
+    check_claim_status(context, status)
 
 
 # --- disk ----------------------------------------------------------------------
@@ -335,22 +343,22 @@
     context.log = context.disk.log_path(1)
 
 
-def flip(path, place):
-    """Change one byte of a file."""
+def invert_byte(path, offset):
+    """Invert the bits of one byte of a file."""
     data = bytearray(path.read_bytes())
-    data[place] ^= 0xFF
+    data[offset] ^= 0xFF
     path.write_bytes(data)
 
 
-def newer_format(context):
-    """Let the identity name a format of the future."""
+def write_newer_format(context):
+    """Set the format in the identity file to a newer one."""
     path = context.folder / "data" / disk.IDENTITY_FILE
     document = json.loads(path.read_text()) | {"format": 9}
     path.write_text(json.dumps(document))
 
 
-def lose_snapshot(context):
-    """Save a snapshot and delete it."""
+def delete_snapshot(context):
+    """Save a snapshot and delete its file."""
     meta = log_lib.SnapshotMeta(index=2, term=1, size=3)
     context.disk.save_snapshot(meta, b"abc", ready_lib.HardState(), ())
     context.disk.snapshot_path(2).unlink()
@@ -362,12 +370,12 @@
     "garbage at the end": lambda c: c.log.write_bytes(
         c.log.read_bytes() + b"CFRLnonsense"
     ),
-    "a bit in the middle": lambda c: flip(c.log, 200),
+    "a bit in the middle": lambda c: invert_byte(c.log, 200),
     "a lost identity": lambda c: (
         c.folder / "data" / disk.IDENTITY_FILE
     ).unlink(),
-    "a newer format": newer_format,
-    "a lost snapshot": lose_snapshot,
+    "a newer format": write_newer_format,
+    "a lost snapshot": delete_snapshot,
 }
 
 
@@ -377,7 +385,7 @@
 
 
 def reopen(context):
-    """Open and load the folder anew; return what is in it."""
+    """Open and load the folder again; return what is loaded."""
     context.disk.close()
     again = disk.DataFolder(context.folder / "data")
     try:
@@ -388,13 +396,13 @@
 
 
 @then("opening it again finds {count:d} batches")
-def finds(context, count):
-    found = len(reopen(context).log.entries)
-    assert found == count, found
+def check_batch_count(context, count):
+    entries = len(reopen(context).log.entries)
+    assert entries == count, entries
 
 
 @then('opening it again fails with "{words}"')
-def fails_with(context, words):
+def check_reopen_fails(context, words):
     try:
         reopen(context)
     except disk.DiskError as error:
@@ -404,7 +412,7 @@
 
 
 @then('opening it a second time fails with "{words}"')
-def second_open(context, words):
+def check_second_open_fails(context, words):
     try:
         disk.DataFolder(context.folder / "data").open()
     except disk.DiskError as error:
@@ -414,13 +422,13 @@
 
 
 class FullFile:
-    """A file on a disk that has room for a part of a write only."""
+    """A file on a full disk, which accepts only a part of a write."""
 
     def __init__(self, file):
         self.file = file
 
     def write(self, data):
-        """Write a little, then find the disk full."""
+        """Write a part of the data; fail when little is left to write."""
         if len(data) < 50:
             raise OSError(28, "No space left on device")
         return self.file.write(data[:-20])
@@ -438,7 +446,7 @@
 
 
 @then('the batch is refused with "{words}"')
-def batch_refused(context, words):
+def check_batch_refused(context, words):
     assert words in context.result.error.message
 
 
@@ -466,7 +474,7 @@
 
 
 @then('the error message contains "{words}"')
-def error_contains(context, words):
+def check_error(context, words):
     assert words in context.result.error, context.result
 
 
@@ -475,10 +483,10 @@
     run_program(context, program, flags.split())
 
 
-def run_program(context, program, words):
+def run_program(context, program, arguments):
     """Run a program until it exits."""
     context.outcome = subprocess.run(
-        [*fleet_lib.module(f"commands.{program}"), *words],
+        [*fleet_lib.module(f"commands.{program}"), *arguments],
         capture_output=True,
         text=True,
         check=False,
@@ -486,7 +494,7 @@
 
 
 @then('it exits with {code:d} and its standard error contains "{words}"')
-def exits_with(context, code, words):
+def check_exit(context, code, words):
     assert context.outcome.returncode == code, context.outcome
     assert words in context.outcome.stderr, context.outcome.stderr
     assert "Traceback" not in context.outcome.stderr
@@ -520,7 +528,7 @@
 
 
 @then('it is refused with code "{code}" and a message that contains "{words}"')
-def refused_with_code(context, code, words):
+def check_failure(context, code, words):
     failure = context.result.error
     assert failure.code.value == code, failure
     assert words in failure.message, failure
@@ -543,12 +551,12 @@
 
 
 @then("its stated outcomes are met")
-def outcomes_met(context):
+def check_outcomes(context):
     assert not context.unmet, context.unmet
 
 
 @when('the trace "{name}" states a slowdown of at most {bound:g} for {policy}')
-def state_bound(context, name, bound, policy):
+def replay_with_outcome(context, name, bound, policy):
     trace = trace_lib.read(str(TRACES / f"{name}.jsonl")).ok
     trace.outcomes = [
         trace_lib.OutcomeLine(measure="short_slowdown_p95", at_most=bound)
@@ -558,18 +566,18 @@
 
 
 @then('replaying it reports "{words}"')
-def replay_reports(context, words):
+def check_replay_reports(context, words):
     assert any(words in fault for fault in context.unmet), context.unmet
 
 
 @when("a trace holds the line {line}")
-def trace_line(context, line):
+def read_trace_line(context, line):
     path = context.folder / "trace.jsonl"
     path.write_text('{"kind": "fleet", "name": "x"}\n' + line + "\n")
     context.result = trace_lib.read(str(path))
 
 
 @then('reading it says "{first}" and "{second}"')
-def reading_says(context, first, second):
+def check_trace_error(context, first, second):
     assert first in context.result.error, context.result
     assert second in context.result.error, context.result
