--- a/src/_coltsfootroad/gateway/watch.py
+++ b/src/_coltsfootroad/gateway/watch.py
@@ -37,7 +37,7 @@
 POLL_PAUSE_S = 0.02
 POLL_FAILURE_PAUSE_S = 0.1
 # An error repeats with each response until a later version corrects it.
-POLL_ERROR_LOG_LIMIT = logs.LineLimit(5, 10.0)
+POLL_ERROR_LOG_LIMIT = logs.LogRateLimit(5, 10.0)
 # The gateway's part of the control protocol; leaving out the other messages
 # shortens the start.
 MESSAGES = wire.WireFormat.of(
--- a/src/_coltsfootroad/shell/controlserver.py
+++ b/src/_coltsfootroad/shell/controlserver.py
@@ -86,7 +86,7 @@
             send=self.send,
             wall_clock=time.time,
             rng=random.Random(),
-            started_at=clocks.PROCESS_STARTED,
+            started_at=clocks.PROCESS_STARTED_AT,
             membership=membership_lib.Membership(settings.required_voters),
             watch_cache=watchcache.WatchCache(make_relay(settings)),
         )
@@ -217,7 +217,7 @@
         All seeds listed before it have to respond as relays, which have no
         disk and so cannot.
         """
-        before = self.settings.seeds_before()
+        before = self.settings.preceding_seeds()
         if before is None:
             return False
         for address in before:
--- a/src/_coltsfootroad/shell/entryserver.py
+++ b/src/_coltsfootroad/shell/entryserver.py
@@ -1,4 +1,4 @@
-"""Runs the entry core on the loop: carries out its actions and timers."""
+"""Runs an entry's core on the event loop: executes its actions and timers."""
 
 import asyncio
 import contextlib
@@ -16,10 +16,10 @@
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import request as request_lib
 from _coltsfootroad.core import servicekind
-from _coltsfootroad.shell import callers
 from _coltsfootroad.shell import dispatchnotes
 from _coltsfootroad.shell import dumps
 from _coltsfootroad.shell import endpointclient
+from _coltsfootroad.shell import entryapi
 from _coltsfootroad.shell import links
 from _coltsfootroad.shell import logs
 from _coltsfootroad.shell import metrics as metrics_lib
@@ -28,16 +28,23 @@
 from _coltsfootroad.shell import web
 
 LOG = logs.logger("entry")
-SYNC_TIMEOUT_S = 2.0
-CLAIM_TIMEOUT_S = 3.0
-SETTLE_RETRY_S = 0.5
-MIN_WAKE_S = 0.001
+HEARTBEAT_TIMEOUT_S = 2.0
+CONTROL_CALL_TIMEOUT_S = 3.0
+SETTLE_RETRY_DELAY_S = 0.5
+MIN_TIMER_DELAY_S = 0.001
 MAX_BODY_BYTES = 32 * 1024 * 1024
 
 
 @attrs.define
-class Channel:
-    """The way from the core back to one caller."""
+class ResponseChannel:
+    """Passes the core's events for one request to its HTTP handler.
+
+    Attributes:
+        events: Output, end or failure of the request, in order.
+        sent_text: Output that the caller has been sent.
+        started_at: When the request was submitted.
+        first_token_at: When its first output arrived, None before it.
+    """
 
     events: asyncio.Queue = attrs.Factory(asyncio.Queue)
     sent_text: list[bytes] = attrs.Factory(list)
@@ -46,7 +53,7 @@
 
 
 class EntryServer:
-    """One entry with its sockets and timers."""
+    """An entry with its sockets, timers and connections."""
 
     def __init__(
         self,
@@ -64,28 +71,28 @@
         self.core = entry_lib.EntryCore(
             settings.entry, incarnation, random.Random()
         )
-        self.channels: dict[str, Channel] = {}
+        self.channels: dict[str, ResponseChannel] = {}
         self.tasks: set[asyncio.Task] = set()
-        self.unsettled = 0
-        self.sync_now = asyncio.Event()
+        self.unsettled_claims = 0
+        self.heartbeat_requested = asyncio.Event()
         self.timer: asyncio.TimerHandle | None = None
         self.notes = dispatchnotes.DispatchNoteExchange(
-            settings.peer_listen, self.core.owner, self.take_note
+            settings.peer_listen, self.core.owner, self.on_dispatch_note
         )
         self.http_server = None
         self.admin_server = None
         self.fatal_error: asyncio.Future = self.loop.create_future()
-        self.asked_to_stop: asyncio.Future = self.loop.create_future()
+        self.stop_requested: asyncio.Future = self.loop.create_future()
         self.ttft = metrics.histogram(
             "colts_entry_ttft_seconds", "Time to first token"
         )
-        self.add_metrics()
+        self.register_metrics()
 
-    # --- life ------------------------------------------------------------
+    # --- lifecycle -------------------------------------------------------
 
     @property
     def member(self) -> addresses.Member:
-        """Return what the control state is told of this entry."""
+        """Return the record of this entry in the control plane."""
         return addresses.Member(
             entry=self.settings.entry,
             incarnation=self.core.incarnation,
@@ -95,43 +102,43 @@
         )
 
     async def start(self, listen_admin: bool = True) -> None:
-        """Open the sockets and start heartbeats and timers."""
-        app = operatorapi.make_application(callers.routes(self))
+        """Open the sockets; start the heartbeats and timers."""
+        app = operatorapi.make_application(entryapi.routes(self))
         self.http_server = web.listen(app, self.settings.listen, MAX_BODY_BYTES)
         if listen_admin:
             routes = web.admin_routes(
                 self.settings.admin_token, self.dump, self.metrics
             )
-            parts = {"token": self.settings.admin_token, "server": self}
-            routes.append((r"/admin/drain", DrainHandler, parts))
+            arguments = {"token": self.settings.admin_token, "server": self}
+            routes.append((r"/admin/drain", DrainHandler, arguments))
             self.admin_server = web.listen(
                 operatorapi.make_application(routes),
                 self.settings.admin_listen,
                 MAX_BODY_BYTES,
             )
         await self.notes.start()
-        self.spawn(self.sync_forever())
-        self.wake()
+        self.spawn(self.send_heartbeats())
+        self.run_timers()
         LOG.info(
             "entry {} listens on {}", self.core.owner, self.settings.listen
         )
 
     async def drain(self) -> None:
-        """Leave without cutting off a request, then stop."""
-        self.run(self.core.begin_drain, self.loop.time())
-        LOG.info("entry {} is leaving", self.core.owner)
+        """Finish the requests in flight within the grace period, then stop."""
+        self.run_core(self.core.begin_drain, self.loop.time())
+        LOG.info("entry {} is draining", self.core.owner)
         end = self.loop.time() + self.settings.shutdown_grace_s
         while self.loop.time() < end and not self.is_drained():
             await asyncio.sleep(0.05)
         await self.stop()
 
     def is_drained(self) -> bool:
-        """Return whether nothing is left to do."""
-        busy = self.channels or self.unsettled
-        return self.core.is_drained(self.loop.time()) and not busy
+        """Return whether no request, cancel or claim is pending."""
+        is_busy = self.channels or self.unsettled_claims
+        return self.core.is_drained(self.loop.time()) and not is_busy
 
     async def stop(self) -> None:
-        """Close everything now."""
+        """Close all sockets and connections, and cancel all tasks."""
         for server in (self.http_server, self.admin_server):
             if server is not None:
                 server.stop()
@@ -144,13 +151,13 @@
         LOG.info("entry {} stopped", self.core.owner)
 
     def spawn(self, coroutine) -> None:
-        """Run a coroutine beside the others; its faults end the process."""
+        """Run a coroutine as a task; an exception in it ends the process."""
         task = self.loop.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self.task_done)
+        task.add_done_callback(self.on_task_done)
 
-    def task_done(self, task: asyncio.Task) -> None:
-        """Forget a task; a fault in one is a broken invariant."""
+    def on_task_done(self, task: asyncio.Task) -> None:
+        """Drop a finished task; treat an exception as a broken invariant."""
         self.tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
@@ -160,51 +167,51 @@
 
     # --- core ------------------------------------------------------------
 
-    def run(self, method, *arguments) -> None:
-        """Call the core and carry out what it wants."""
+    def run_core(self, method, *arguments) -> None:
+        """Call a method of the core and execute the actions it returns."""
         try:
-            wanted = method(*arguments)
+            requested_actions = method(*arguments)
         except errors.BrokenInvariantError as error:
             LOG.critical("stopping on a broken invariant: {}", error)
             if not self.fatal_error.done():
                 self.fatal_error.set_exception(error)
             return
-        for action in wanted:
-            self.carry_out(action)
+        for action in requested_actions:
+            self.execute(action)
         if self.core.syncing.wants_sync:
-            self.sync_now.set()
-        self.plan_wake()
+            self.heartbeat_requested.set()
+        self.schedule_timer()
 
-    def wake(self) -> None:
-        """Run the core's timers."""
+    def run_timers(self) -> None:
+        """Run the core's due timers."""
         self.timer = None
-        self.run(self.core.tick, self.loop.time())
+        self.run_core(self.core.tick, self.loop.time())
 
-    def plan_wake(self) -> None:
-        """Set the timer to when the core wants it."""
+    def schedule_timer(self) -> None:
+        """Set the timer to the core's next due time."""
         now = self.loop.time()
-        at = max(self.core.next_wake(now), now + MIN_WAKE_S)
+        due_at = max(self.core.next_wake(now), now + MIN_TIMER_DELAY_S)
         if self.timer is not None:
-            if self.timer.when() <= at:
+            if self.timer.when() <= due_at:
                 return
             self.timer.cancel()
-        self.timer = self.loop.call_at(at, self.wake)
+        self.timer = self.loop.call_at(due_at, self.run_timers)
 
-    def carry_out(self, action: actions.Action) -> None:
-        """Start what an action asks for."""
+    def execute(self, action: actions.Action) -> None:
+        """Start an action of the core."""
         match action:
             case actions.Dispatch():
                 self.dispatch(action)
             case actions.DispatchNote():
                 self.notes.send_soon(action)
             case actions.Emit() | actions.Finish() | actions.Fail():
-                self.to_caller(action)
+                self.send_to_caller(action)
             case actions.Cancel():
                 self.spawn(self.cancel(action))
             case actions.TakeClaim():
-                self.spawn(self.take_claim(action))
+                self.spawn(self.acquire_claim(action))
             case actions.SettleClaim():
-                self.unsettled += 1
+                self.unsettled_claims += 1
                 self.spawn(self.settle_claim(action))
             case actions.Reprioritise():
                 self.spawn(self.reprioritise(action))
@@ -212,17 +219,17 @@
                 self.spawn(self.reserve_group(action))
             case actions.ReleaseGroup():
                 release = calls.release_call(action)
-                self.spawn(self.control.call(release, CLAIM_TIMEOUT_S))
+                self.spawn(self.control.call(release, CONTROL_CALL_TIMEOUT_S))
 
-    def submit(self, request: request_lib.Request) -> Channel:
-        """Give a request to the core; its events come over the channel."""
-        channel = Channel(started_at=self.loop.time())
+    def submit(self, request: request_lib.Request) -> ResponseChannel:
+        """Submit a request to the core; return the channel of its events."""
+        channel = ResponseChannel(started_at=self.loop.time())
         self.channels[request.request_id] = channel
-        self.run(self.core.submit, request, self.loop.time())
+        self.run_core(self.core.submit, request, self.loop.time())
         return channel
 
-    def to_caller(self, action) -> None:
-        """Hand an event to the caller that waits for it."""
+    def send_to_caller(self, action) -> None:
+        """Pass an event to the channel of its request."""
         channel = self.channels.get(action.request_id)
         if channel is None:
             return
@@ -233,15 +240,17 @@
                 self.ttft.record(channel.first_token_at - channel.started_at)
         channel.events.put_nowait(action)
 
-    def caller_left(self, request_id: str) -> None:
-        """Note that a caller has its answer or has gone."""
+    def close_channel(self, request_id: str) -> None:
+        """Close the channel of a caller that has its response or is gone."""
         if self.channels.pop(request_id, None) is not None:
-            self.run(self.core.on_caller_gone, request_id, self.loop.time())
+            self.run_core(
+                self.core.on_caller_gone, request_id, self.loop.time()
+            )
 
     # --- endpoints -------------------------------------------------------
 
     def address_of(self, endpoint: str) -> str | None:
-        """Return where an endpoint takes requests."""
+        """Return the address of an endpoint, None if it is unknown."""
         view = self.core.view(endpoint)
         return view.announcement.address if view is not None else None
 
@@ -250,17 +259,17 @@
         plain = servicekind.ServiceKind.PLAIN
         for part in dispatch.parts:
             if dispatch.request.kind is plain:
-                self.spawn(self.call_plain(dispatch))
+                self.spawn(self.call_service(dispatch))
             else:
                 self.spawn(self.generate(dispatch, part))
 
-    def attempt_failed(
+    def report_failed_attempt(
         self,
         dispatch: actions.Dispatch,
         part: actions.Part,
         fault: entry_lib.Fault,
     ) -> None:
-        """Tell the core that an attempt failed."""
+        """Report a failed attempt to the core."""
         LOG.debug(
             "attempt {} of {} at {} failed: {}",
             dispatch.attempt,
@@ -268,7 +277,7 @@
             part.endpoint,
             fault.value,
         )
-        self.run(
+        self.run_core(
             self.core.on_attempt_failed,
             part.endpoint,
             dispatch.request.request_id,
@@ -280,15 +289,15 @@
     async def generate(
         self, dispatch: actions.Dispatch, part: actions.Part
     ) -> None:
-        """Run one part of an attempt at an engine."""
+        """Run one part of an attempt on an engine."""
         address = self.address_of(part.endpoint)
-        left_s = dispatch.deadline_at - self.loop.time()
-        if address is None or left_s <= 0:
-            self.attempt_failed(dispatch, part, entry_lib.Fault.NOT_SENT)
+        remaining_s = dispatch.deadline_at - self.loop.time()
+        if address is None or remaining_s <= 0:
+            self.report_failed_attempt(dispatch, part, entry_lib.Fault.NOT_SENT)
             return
 
         def on_chunk(chunk: request_lib.Chunk) -> None:
-            self.run(
+            self.run_core(
                 self.core.on_chunk,
                 part.endpoint,
                 dispatch.request.request_id,
@@ -303,32 +312,32 @@
             part,
             self.core.owner,
             self.resume_text(dispatch),
-            left_s,
+            remaining_s,
             on_chunk,
         )
         if fault is not None:
-            self.attempt_failed(dispatch, part, fault)
+            self.report_failed_attempt(dispatch, part, fault)
 
     def resume_text(self, dispatch: actions.Dispatch) -> str:
-        """Return what the caller has of the answer already."""
+        """Return the output sent so far, which a resumed attempt continues."""
         channel = self.channels.get(dispatch.request.request_id)
         if channel is None or not dispatch.resume_offset:
             return ""
         return b"".join(channel.sent_text).decode(errors="replace")
 
-    async def call_plain(self, dispatch: actions.Dispatch) -> None:
-        """Make one call of a plain service."""
+    async def call_service(self, dispatch: actions.Dispatch) -> None:
+        """Send one request to a plain service."""
         part = dispatch.parts[0]
         address = self.address_of(part.endpoint)
-        left_s = dispatch.deadline_at - self.loop.time()
-        if address is None or left_s <= 0:
-            self.attempt_failed(dispatch, part, entry_lib.Fault.NOT_SENT)
+        remaining_s = dispatch.deadline_at - self.loop.time()
+        if address is None or remaining_s <= 0:
+            self.report_failed_attempt(dispatch, part, entry_lib.Fault.NOT_SENT)
             return
-        outcome = await self.client.call(address, dispatch, left_s)
+        outcome = await self.client.call(address, dispatch, remaining_s)
         if outcome.is_error():
-            self.attempt_failed(dispatch, part, outcome.error)
+            self.report_failed_attempt(dispatch, part, outcome.error)
             return
-        self.run(
+        self.run_core(
             self.core.on_answer,
             part.endpoint,
             dispatch.request.request_id,
@@ -338,15 +347,15 @@
         )
 
     async def cancel(self, action: actions.Cancel) -> None:
-        """Cancel an attempt; the core repeats it until it is confirmed."""
+        """Cancel an attempt; the core repeats this until it is confirmed."""
         address = self.address_of(action.endpoint)
         view = self.core.view(action.endpoint)
         if address is None or view is None:
             return
-        plain = view.announcement.kind is servicekind.ServiceKind.PLAIN
-        if not plain and not await self.client.cancel(address, action):
+        is_plain = view.announcement.kind is servicekind.ServiceKind.PLAIN
+        if not is_plain and not await self.client.cancel(address, action):
             return
-        self.run(
+        self.run_core(
             self.core.on_cancel_confirmed,
             action.endpoint,
             action.request_id,
@@ -355,32 +364,33 @@
         )
 
     async def reprioritise(self, action: actions.Reprioritise) -> None:
-        """Change a priority at an engine."""
+        """Change the priority of an attempt on an engine."""
         address = self.address_of(action.endpoint)
         if address is not None:
             await self.client.reprioritise(address, action)
 
-    def take_note(self, note: actions.DispatchNote) -> None:
-        """Take another entry's note of a dispatch."""
-        self.run(self.core.on_note, note, self.loop.time())
+    def on_dispatch_note(self, note: actions.DispatchNote) -> None:
+        """Pass a dispatch note of another entry to the core."""
+        self.run_core(self.core.on_note, note, self.loop.time())
 
-    # --- control ---------------------------------------------------------
+    # --- control plane ---------------------------------------------------
 
-    async def sync_forever(self) -> None:
-        """Send heartbeats for as long as the process lives."""
+    async def send_heartbeats(self) -> None:
+        """Send heartbeats until the process ends."""
         while True:
-            self.sync_now.clear()
-            await self.sync_once()
+            self.heartbeat_requested.clear()
+            await self.send_heartbeat()
             with contextlib.suppress(asyncio.TimeoutError):
                 await asyncio.wait_for(
-                    self.sync_now.wait(), self.settings.sync_interval_s
+                    self.heartbeat_requested.wait(),
+                    self.settings.sync_interval_s,
                 )
 
-    async def sync_once(self) -> None:
-        """Send one heartbeat and take its answer."""
+    async def send_heartbeat(self) -> None:
+        """Send one heartbeat and apply the reply."""
         requested_at = self.loop.time()
         request = self.core.sync_request(self.member, requested_at)
-        answer = await self.control.call(request, SYNC_TIMEOUT_S)
+        answer = await self.control.call(request, HEARTBEAT_TIMEOUT_S)
         if answer.is_error():
             LOG.warning("heartbeat failed: {}", answer.error.message)
             return
@@ -388,7 +398,7 @@
             LOG.warning("heartbeat refused: {}", answer.ok)
             return
         version = self.core.freshness.version
-        self.run(
+        self.run_core(
             self.core.on_sync,
             request,
             answer.ok,
@@ -399,13 +409,13 @@
         if self.core.freshness.version != version:
             LOG.info("configuration {} in force", self.core.freshness.version)
 
-    async def take_claim(self, action: actions.TakeClaim) -> None:
-        """Ask for a claim; the core asks again when nothing comes."""
+    async def acquire_claim(self, action: actions.TakeClaim) -> None:
+        """Request a claim; without an answer the core requests it again."""
         request = action.request
         message = calls.claim_call(action, self.loop.time())
-        answer = await self.control.call(message, CLAIM_TIMEOUT_S)
+        answer = await self.control.call(message, CONTROL_CALL_TIMEOUT_S)
         if answer.is_ok() and isinstance(answer.ok, messages.ClaimAnswer):
-            self.run(
+            self.run_core(
                 self.core.on_claim,
                 request.request_id,
                 answer.ok,
@@ -413,28 +423,30 @@
             )
 
     async def settle_claim(self, action: actions.SettleClaim) -> None:
-        """Tell how a claim ended, again and again until it is heard."""
+        """Report how a claim ended; repeat until it is acknowledged."""
         message = calls.settle_call(action)
         try:
             while True:
-                answer = await self.control.call(message, CLAIM_TIMEOUT_S)
+                answer = await self.control.call(
+                    message, CONTROL_CALL_TIMEOUT_S
+                )
                 if answer.is_ok() and isinstance(answer.ok, outcomes.Done):
                     return
-                await asyncio.sleep(SETTLE_RETRY_S)
+                await asyncio.sleep(SETTLE_RETRY_DELAY_S)
         finally:
-            self.unsettled -= 1
+            self.unsettled_claims -= 1
 
     async def reserve_group(self, action: actions.ReserveGroup) -> None:
-        """Ask for a group of engines; the core asks again by its timer."""
+        """Reserve a group of engines; the core repeats this by a timer."""
         message = calls.reserve_call(action)
-        answer = await self.control.call(message, CLAIM_TIMEOUT_S)
+        answer = await self.control.call(message, CONTROL_CALL_TIMEOUT_S)
         if answer.is_ok() and isinstance(answer.ok, messages.GroupAnswer):
-            self.run(self.core.on_group, answer.ok, self.loop.time())
+            self.run_core(self.core.on_group, answer.ok, self.loop.time())
 
-    # --- facts -----------------------------------------------------------
+    # --- state dump and metrics ------------------------------------------
 
     def dump(self) -> bytes:
-        """Return the state of the process for people."""
+        """Return the process state as JSON, for operators."""
         return dumps.to_json(
             {
                 "settings": self.settings,
@@ -448,11 +460,11 @@
                 "queues": self.core.dispatcher.queues,
                 "bands": self.core.dispatcher.bands_by_service,
                 "releases": len(self.core.releaser.pending),
-                "unsettled": self.unsettled,
+                "unsettled": self.unsettled_claims,
             }
         )
 
-    def add_metrics(self) -> None:
+    def register_metrics(self) -> None:
         """Register the metrics of this entry."""
         core = self.core
         for field in attrs.fields(counters_lib.Counters):
@@ -488,9 +500,9 @@
     """Shuts the entry down gracefully, as SIGTERM does."""
 
     def post(self):
-        """Begin, and answer with how long addresses still hold."""
-        if not self.server.asked_to_stop.done():
-            self.server.asked_to_stop.set_result(True)
+        """Start draining; send how long published addresses remain valid."""
+        if not self.server.stop_requested.done():
+            self.server.stop_requested.set_result(True)
         validity = self.server.core.config.fleet.address_validity_s
         self.send_value({"draining": True, "accepts_for_s": validity})
 
--- a/src/_coltsfootroad/shell/links.py
+++ b/src/_coltsfootroad/shell/links.py
@@ -28,7 +28,7 @@
 SENDER_ADDRESS_KEY = "colts-sender-address"
 MAX_QUEUED_MESSAGES = 512
 # Many peers may connect and disconnect at once.
-LINK_LOG_LIMIT = logs.LineLimit(40, 10.0)
+LINK_LOG_LIMIT = logs.LogRateLimit(40, 10.0)
 # Delay before a stream that ended is reopened; a message from the peer ends
 # the delay.
 RECONNECT_DELAY_S = 0.3
--- a/src/_coltsfootroad/shell/logs.py
+++ b/src/_coltsfootroad/shell/logs.py
@@ -1,8 +1,8 @@
-"""Logging by logbook: prefixed sentences, or one JSON object a line.
+"""Logging with logbook: prefixed text lines, or one JSON object per line.
 
-Structured lines go to standard output through a bounded buffer. When the
-reader of the output is slow, lines are dropped and counted; the program
-never waits for it.
+Structured lines go to standard output through a bounded buffer. If the reader
+of the output is slow, lines are dropped and counted, so that logging never
+blocks the program.
 """
 
 import collections
@@ -16,53 +16,53 @@
     "{record.time:%Y-%m-%dT%H:%M:%S.%f} {record.level_name}"
     " {record.channel}: {record.message}"
 )
-# Lines that wait for a slow reader: about a megabyte.
+# About a megabyte of lines, buffered for a slow reader.
 MAX_BUFFERED_LINES = 4_096
-# Bytes written at once; a pipe takes 64 KiB.
-WRITE_BYTES = 32 * 1024
-STDOUT = 1
+# Size of one write; a pipe holds 64 KiB.
+CHUNK_BYTES = 32 * 1024
+STDOUT_FD = 1
 ENCODER = msgspec.json.Encoder()
 
 
 def logger(part: str) -> logbook.Logger:
-    """Return the logger of a part; the part's name is the prefix."""
+    """Return the logger of a component, whose name prefixes its lines."""
     return logbook.Logger(part)
 
 
-class LineLimit:
-    """Lets some lines of a kind through in each span of time.
+class LogRateLimit:
+    """Limits the log lines of one kind in each time window.
 
-    What strangers send may come at any rate; the first lines tell as much as
-    all of them.
+    Untrusted input may arrive at any rate, and the first lines are as
+    informative as all of them.
     """
 
-    def __init__(self, lines: int, span_s: float):
+    def __init__(self, lines: int, window_s: float):
         self.lines = lines
-        self.span_s = span_s
-        self.since = float("-inf")
-        self.seen = 0
+        self.window_s = window_s
+        self.window_start = float("-inf")
+        self.line_count = 0
 
     def allows(self, now: float) -> bool:
-        """Return whether one more line may be written at `now`."""
-        if now - self.since >= self.span_s:
-            self.since = now
-            self.seen = 0
-        self.seen += 1
-        return self.seen <= self.lines
+        """Return whether another line may be written at `now`."""
+        if now - self.window_start >= self.window_s:
+            self.window_start = now
+            self.line_count = 0
+        self.line_count += 1
+        return self.line_count <= self.lines
 
 
 class LineBuffer:
-    """Lines on their way to a file descriptor that may not take them."""
+    """Buffers lines for a file descriptor that may not accept them."""
 
     def __init__(self, descriptor: int, limit: int = MAX_BUFFERED_LINES):
         self.descriptor = descriptor
         self.limit = limit
         self.lines: collections.deque[bytes] = collections.deque()
-        self.rest = b""
+        self.unwritten = b""
         self.dropped = 0
 
     def add(self, line: bytes) -> None:
-        """Write a line, or keep it for later, or drop and count it."""
+        """Write or buffer a line; drop and count it if the buffer is full."""
         if len(self.lines) >= self.limit:
             self.dropped += 1
             return
@@ -70,32 +70,32 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write as much as the descriptor takes without waiting."""
-        while self.rest or self.lines:
-            if not self.rest:
-                self.rest = self.take()
+        """Write as much as the descriptor accepts without blocking."""
+        while self.unwritten or self.lines:
+            if not self.unwritten:
+                self.unwritten = self.next_chunk()
             try:
-                written = os.write(self.descriptor, self.rest)
+                written = os.write(self.descriptor, self.unwritten)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; what is left cannot be told.
+                # The reader is gone; the buffered lines are lost.
                 self.dropped += len(self.lines) + 1
                 self.lines.clear()
-                self.rest = b""
+                self.unwritten = b""
                 return
-            self.rest = self.rest[written:]
+            self.unwritten = self.unwritten[written:]
 
-    def take(self) -> bytes:
-        """Return some whole lines."""
-        taken = bytearray()
-        while self.lines and len(taken) < WRITE_BYTES:
-            taken += self.lines.popleft()
-        return bytes(taken)
+    def next_chunk(self) -> bytes:
+        """Remove and return complete lines of about `CHUNK_BYTES`."""
+        chunk = bytearray()
+        while self.lines and len(chunk) < CHUNK_BYTES:
+            chunk += self.lines.popleft()
+        return bytes(chunk)
 
 
 class JsonHandler(logbook.Handler):
-    """Writes each record as one JSON object with the fields it was given."""
+    """Writes each record as one JSON object with its keyword fields."""
 
     def __init__(self, buffer: LineBuffer, level: str):
         super().__init__(level=level, bubble=False)
@@ -113,22 +113,22 @@
         self.buffer.add(ENCODER.encode(fields) + b"\n")
 
 
-OUTPUT = LineBuffer(STDOUT)
+OUTPUT = LineBuffer(STDOUT_FD)
 
 
 def dropped() -> int:
-    """Return how many lines were dropped since the start."""
+    """Return the number of lines dropped since the start."""
     return OUTPUT.dropped
 
 
 def start(level: str, structured: bool = False) -> None:
     """Send log records of at least `level` to the output.
 
-    Sentences go to standard error, structured lines to standard output.
+    Text lines go to standard error, structured lines to standard output.
     """
     logbook.set_datetime_format("utc")
     if structured:
-        os.set_blocking(STDOUT, False)
+        os.set_blocking(STDOUT_FD, False)
         JsonHandler(OUTPUT, level).push_application()
         return
     handler = logbook.StreamHandler(
--- a/src/_coltsfootroad/shell/metrics.py
+++ b/src/_coltsfootroad/shell/metrics.py
@@ -1,52 +1,51 @@
-"""OpenTelemetry metrics, pulled as Prometheus text.
+"""OpenTelemetry metrics, served as Prometheus text.
 
-The SDK and its exporter are imported when the metrics are pulled for the first
-time: they take a good part of a program's start, in which a gateway serves
-nobody, and memory, which a VM whose metrics nobody pulls keeps free.
+The SDK and its exporter are imported at the first scrape. Importing them takes
+a large part of a program's start, during which a gateway serves no requests,
+and memory, which a VM whose metrics are not scraped keeps free.
 """
 
 from collections.abc import Callable
 
 import attrs
 
-# Bucket borders in seconds for first-token times.
-TTFT_BUCKETS = (0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120, 300)
+# Bucket boundaries for the time to first token.
+TTFT_BUCKETS_S = (0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120, 300)
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-# Samples that are kept until the SDK takes them over. Whoever has had more of
-# them loads the SDK.
-MAX_PENDING = 4_096
+# Samples that a histogram buffers before it loads the SDK.
+MAX_PENDING_SAMPLES = 4_096
 
-# None while there is nothing to observe.
-Observe = Callable[[], float | None]
-ObserveAll = Callable[[], dict[str, float]]
+# Returns None while there is no value.
+ReadValue = Callable[[], float | None]
+ReadLabelledValues = Callable[[], dict[str, float]]
 
 
 @attrs.define
 class Histogram:
-    """Samples of seconds, kept here until the SDK takes them."""
+    """A histogram in seconds, which buffers samples until the SDK is loaded."""
 
     name: str
-    text: str
+    description: str
     metrics: "Metrics"
     pending: list[float] = attrs.Factory(list)
     instrument: object | None = None
 
     def record(self, seconds: float) -> None:
-        """Take a sample."""
+        """Record a sample."""
         if self.instrument is not None:
             self.instrument.record(seconds)
             return
         self.pending.append(seconds)
-        if len(self.pending) >= MAX_PENDING:
-            self.metrics.load()
+        if len(self.pending) >= MAX_PENDING_SAMPLES:
+            self.metrics.load_sdk()
 
-    def load(self, meter) -> None:
-        """Hand all samples over to the SDK."""
+    def attach(self, meter) -> None:
+        """Create the SDK's histogram and record the buffered samples in it."""
         self.instrument = meter.create_histogram(
             self.name,
             unit="s",
-            description=self.text,
-            explicit_bucket_boundaries_advisory=TTFT_BUCKETS,
+            description=self.description,
+            explicit_bucket_boundaries_advisory=TTFT_BUCKETS_S,
         )
         for seconds in self.pending:
             self.instrument.record(seconds)
@@ -54,32 +53,32 @@
 
 
 @attrs.frozen
-class Observed:
-    """A value that is read when the metrics are pulled."""
+class ObservableMetric:
+    """A value that is read at each scrape."""
 
     name: str
-    text: str
-    observe: Observe
+    description: str
+    read: ReadValue
 
 
 @attrs.frozen
-class ObservedBy:
-    """Values by the word that stands in one label, read likewise."""
+class LabelledMetric:
+    """Values by the value of one label, read at each scrape."""
 
     name: str
-    text: str
+    description: str
     label: str
-    observe: ObserveAll
+    read: ReadLabelledValues
 
 
 @attrs.define
 class Metrics:
-    """Instruments of one process; pulling them needs no thread."""
+    """Instruments of one process; serving them needs no thread."""
 
     program: str
-    gauges: list[Observed] = attrs.Factory(list)
-    counters: list[Observed] = attrs.Factory(list)
-    labelled: list[ObservedBy] = attrs.Factory(list)
+    gauges: list[ObservableMetric] = attrs.Factory(list)
+    counters: list[ObservableMetric] = attrs.Factory(list)
+    labelled: list[LabelledMetric] = attrs.Factory(list)
     histograms: list[Histogram] = attrs.Factory(list)
     registry: object | None = None
 
@@ -88,37 +87,37 @@
         """Return the metrics of a program."""
         return cls(program)
 
-    def gauge(self, name: str, text: str, observe: Observe) -> None:
-        """Add a gauge that is read when the metrics are pulled."""
+    def gauge(self, name: str, description: str, read: ReadValue) -> None:
+        """Add a gauge that is read at each scrape."""
         self.check_not_loaded()
-        self.gauges.append(Observed(name, text, observe))
+        self.gauges.append(ObservableMetric(name, description, read))
 
-    def counter(self, name: str, text: str, observe: Observe) -> None:
-        """Add a counter that is read when the metrics are pulled."""
+    def counter(self, name: str, description: str, read: ReadValue) -> None:
+        """Add a counter that is read at each scrape."""
         self.check_not_loaded()
-        self.counters.append(Observed(name, text, observe))
+        self.counters.append(ObservableMetric(name, description, read))
 
-    def counter_by(
-        self, name: str, text: str, label: str, observe: ObserveAll
+    def labelled_counter(
+        self, name: str, description: str, label: str, read: ReadLabelledValues
     ) -> None:
-        """Add counters that differ by one label."""
+        """Add a counter with one label."""
         self.check_not_loaded()
-        self.labelled.append(ObservedBy(name, text, label, observe))
+        self.labelled.append(LabelledMetric(name, description, label, read))
 
-    def histogram(self, name: str, text: str) -> Histogram:
-        """Return a histogram in seconds."""
+    def histogram(self, name: str, description: str) -> Histogram:
+        """Add a histogram in seconds and return it."""
         self.check_not_loaded()
-        histogram = Histogram(name, text, self)
+        histogram = Histogram(name, description, self)
         self.histograms.append(histogram)
         return histogram
 
     def check_not_loaded(self) -> None:
-        """Raise if an instrument comes too late to be seen."""
+        """Raise RuntimeError if the SDK is loaded, as after a scrape."""
         if self.registry is not None:
-            raise RuntimeError("instruments are added before the first pull")
+            raise RuntimeError("add instruments before the first scrape")
 
-    def load(self) -> None:
-        """Import the SDK and make the instruments."""
+    def load_sdk(self) -> None:
+        """Import the SDK and create the instruments, once."""
         if self.registry is not None:
             return
         from opentelemetry.exporter import prometheus
@@ -131,52 +130,54 @@
         meter = provider.get_meter(self.program)
         for gauge in self.gauges:
             meter.create_observable_gauge(
-                gauge.name, [observation(gauge.observe)], description=gauge.text
+                gauge.name,
+                [value_callback(gauge.read)],
+                description=gauge.description,
             )
         for counter in self.counters:
             meter.create_observable_counter(
                 counter.name,
-                [observation(counter.observe)],
-                description=counter.text,
+                [value_callback(counter.read)],
+                description=counter.description,
             )
         for labelled in self.labelled:
             meter.create_observable_counter(
                 labelled.name,
-                [observation_by(labelled)],
-                description=labelled.text,
+                [labelled_callback(labelled)],
+                description=labelled.description,
             )
         for histogram in self.histograms:
-            histogram.load(meter)
+            histogram.attach(meter)
 
     def text(self) -> bytes:
-        """Return all metrics as Prometheus text."""
-        self.load()
+        """Return all metrics in the Prometheus text format."""
+        self.load_sdk()
         import prometheus_client
 
         return prometheus_client.generate_latest(self.registry)
 
 
-def observation(observe: Observe):
-    """Return a callback of the form that OpenTelemetry calls."""
+def value_callback(read: ReadValue):
+    """Return an OpenTelemetry callback that reads one value."""
 
     def callback(_):
         from opentelemetry import metrics as otel
 
-        value = observe()
+        value = read()
         return [] if value is None else [otel.Observation(value)]
 
     return callback
 
 
-def observation_by(labelled: ObservedBy):
-    """Return a callback that gives one observation for each label."""
+def labelled_callback(labelled: LabelledMetric):
+    """Return an OpenTelemetry callback that reads the labelled values."""
 
     def callback(_):
         from opentelemetry import metrics as otel
 
         return [
-            otel.Observation(value, {labelled.label: word})
-            for word, value in labelled.observe().items()
+            otel.Observation(value, {labelled.label: label_value})
+            for label_value, value in labelled.read().items()
         ]
 
     return callback
--- a/src/_coltsfootroad/shell/retryloanlogger.py
+++ b/src/_coltsfootroad/shell/retryloanlogger.py
@@ -14,7 +14,7 @@
 
     def __init__(self, node: node_lib.ControlNode):
         self.node = node
-        self.line_limit = logs.LineLimit(MAX_LINES_PER_S, 1.0)
+        self.line_limit = logs.LogRateLimit(MAX_LINES_PER_S, 1.0)
 
     def log_answer(
         self, request: retrylending.BorrowRetries, answer: object, now: float
