--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -193,7 +193,7 @@
             if engine.is_idle:
                 self.busy.discard(place)
                 continue
-            before = [j for j in engine.active if not j.unread]
+            before = [j for j in engine.active if not j.pending_parts]
             end = engine.run_pass(at)
             for job in before:
                 self.note(job, end)
@@ -248,7 +248,7 @@
         arrival.predicted_s = choice.predicted_s
         arrival.parts = 1 + len(choice.helpers)
         job = arrival.job
-        job.unread = arrival.parts
+        job.pending_parts = arrival.parts
         job.rank = urgency.of(
             arrival.route(), now - arrival.at, choice.predicted_s
         )
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -25,7 +25,7 @@
 
 def show_completion(fleet: fleet_lib.Fleet, entry: str) -> None:
     """Get a whole answer."""
-    response = fleet.complete(entry, "is plate KX-1234 active?", 8)
+    response = fleet.request_completion(entry, "is plate KX-1234 active?", 8)
     text = json.loads(response.body)["choices"][0]["text"]
     say(f"{entry} answered {response.code}: {text!r}")
 
@@ -46,7 +46,9 @@
     say(f"patch against version 1: exit code {code}")
     say(f"the same number again: exit code {fleet.patch(1, patch)} (stale)")
     say(fleet.ctl("config", "watch", "2").stdout.strip())
-    response = fleet.complete("entry-1", "is plate KX-1234 active?", 8)
+    response = fleet.request_completion(
+        "entry-1", "is plate KX-1234 active?", 8
+    )
     say(f"8 tokens now: {json.loads(response.body)['error']}")
 
 
@@ -57,7 +59,7 @@
     def ask() -> None:
         with_own_client = fleet_lib.Fleet(fleet.folder, listen=fleet.listen)
         prompt = "a season of wash logs " * 20_000
-        answers.append(with_own_client.complete("entry-2", prompt, 4))
+        answers.append(with_own_client.request_completion("entry-2", prompt, 4))
 
     thread = threading.Thread(target=ask)
     thread.start()
@@ -83,7 +85,9 @@
 
 def show_completion_short(fleet: fleet_lib.Fleet) -> None:
     """Get an answer within the patched bound."""
-    response = fleet.complete("entry-0", "is plate KX-1234 active?", 4)
+    response = fleet.request_completion(
+        "entry-0", "is plate KX-1234 active?", 4
+    )
     say(f"entry-0 answers {response.code}")
 
 
--- a/features/soak/fleet.py
+++ b/features/soak/fleet.py
@@ -21,7 +21,7 @@
 
 LAUNCHER = pathlib.Path(__file__).with_name("launch.py")
 TOKEN = "soak-token"
-HOST = ports_lib.own_host()
+HOST = ports_lib.process_host()
 STOP_WAIT_S = 12.0
 DUMP_S = 1.0
 
--- a/features/steps/batchengine_steps.py
+++ b/features/steps/batchengine_steps.py
@@ -34,10 +34,10 @@
 )
 def engine_with_prompt(context, parts, tokens):
     context.engine = batchengine.BatchEngine(SPEC)
-    context.job = batchengine.Job(tokens, 460, unread=parts)
+    context.job = batchengine.Job(tokens, 460, pending_parts=parts)
     context.engine.submit(context.job, parts)
     # The other parts are read elsewhere and end no later than this one.
-    context.job.unread = 1
+    context.job.pending_parts = 1
 
 
 @then("its first event comes after {least:g} to {most:g} s")
@@ -75,14 +75,14 @@
 
 @when("a part of another prompt comes")
 def part_comes(context):
-    context.other = batchengine.Job(45_000, 46, unread=2)
+    context.other = batchengine.Job(45_000, 46, pending_parts=2)
     context.engine.submit_part(context.other, 2)
 
 
 @then("the part is read before it")
 def part_first(context):
-    run_until(context.engine, lambda: context.other.unread == 1)
-    assert context.job.unread == 1
+    run_until(context.engine, lambda: context.other.pending_parts == 1)
+    assert context.job.pending_parts == 1
 
 
 @given("an engine whose batch is full of streams")
--- a/features/steps/chaos_steps.py
+++ b/features/steps/chaos_steps.py
@@ -203,7 +203,7 @@
         if response is None or response.code != 200:
             continue
         text = json.loads(response.body)["choices"][0]["text"]
-        assert text.encode() == engine_lib.whole_text(tokens), text
+        assert text.encode() == engine_lib.complete_text(tokens), text
     for key, answers in context.load.charges:
         if answers[-1] is not None and answers[-1].code == 200:
             assert json.loads(answers[-1].body)["echo"] == key
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -88,7 +88,7 @@
 def heartbeat(context, state, meaning):
     body = json.loads((FOLDER / "heartbeat.json").read_bytes())
     body["state"] = state
-    found = instances.decode("i-1", json.dumps(body).encode())
+    found = instances.decode_heartbeat("i-1", json.dumps(body).encode())
     if meaning == "refused":
         assert found.is_error()
     else:
@@ -97,7 +97,7 @@
 
 @then("signing off has a higher number than any heartbeat")
 def signing_off(context):
-    assert instances.signed_off("i-1", b"").ok.seq > 2**53
+    assert instances.decode_sign_off("i-1", b"").ok.seq > 2**53
 
 
 def heartbeat_with(field: str, value) -> bytes:
@@ -112,7 +112,7 @@
 @then("a heartbeat with {field} as {value} is refused for {words}")
 def unreadable(context, field, value, words):
     body = heartbeat_with(field, None if value == "missing" else value)
-    found = instances.decode("i-1", body)
+    found = instances.decode_heartbeat("i-1", body)
     assert found.is_error(), found
     assert words in found.error.message, found.error
 
@@ -120,15 +120,15 @@
 @then("a heartbeat and a sign-off that state {born} are of start {start}")
 def started(context, born, start):
     stated = None if born == "nothing" else born
-    found = instances.decode("i-1", heartbeat_with("born", stated))
+    found = instances.decode_heartbeat("i-1", heartbeat_with("born", stated))
     assert found.ok.incarnation == int(start), found
     body = b"" if stated is None else f'{{"born": {born}}}'.encode()
-    assert instances.signed_off("i-1", body).ok.incarnation == int(start)
+    assert instances.decode_sign_off("i-1", body).ok.incarnation == int(start)
 
 
 DECODERS = {
-    "a heartbeat": lambda body: instances.decode("i-1", body),
-    "a sign-off": lambda body: instances.signed_off("i-1", body),
+    "a heartbeat": lambda body: instances.decode_heartbeat("i-1", body),
+    "a sign-off": lambda body: instances.decode_sign_off("i-1", body),
     "a configuration": configuration.decode,
 }
 JSON_VALUES = strategies.recursive(
--- a/features/steps/ports_steps.py
+++ b/features/steps/ports_steps.py
@@ -10,15 +10,15 @@
 
 @when("{count:d} ports are handed out, few of them at a time, from {many:d}")
 def handed_out(context, count, many):
-    context.range = range(ports.LOWEST, ports.LOWEST + many)
+    context.range = range(ports.MIN_PORT, ports.MIN_PORT + many)
     context.ports = []
     with (
-        mock.patch.object(ports, "HIGHEST", ports.LOWEST + many),
-        mock.patch.object(ports, "HANDED_OUT", set()),
+        mock.patch.object(ports, "MAX_PORT", ports.MIN_PORT + many),
+        mock.patch.object(ports, "RETURNED_PORTS", set()),
     ):
         while len(context.ports) < count:
-            context.ports += ports.free_ports(2, ports.own_host())
-            context.ports.append(ports.free_port(ports.own_host()))
+            context.ports += ports.free_ports(2, ports.process_host())
+            context.ports.append(ports.free_port(ports.process_host()))
 
 
 @then("all of them differ")
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -539,12 +539,12 @@
 def replay_trace(context, name, policy):
     trace = trace_lib.read(str(TRACES / f"{name}.jsonl")).ok
     report = player.replay(trace, policy)
-    context.unmet = player.unmet(trace, [report])
+    context.unmet_outcomes = player.unmet_outcomes(trace, [report])
 
 
 @then("its stated outcomes are met")
 def outcomes_met(context):
-    assert not context.unmet, context.unmet
+    assert not context.unmet_outcomes, context.unmet_outcomes
 
 
 @when('the trace "{name}" states a slowdown of at most {bound:g} for {policy}')
@@ -554,12 +554,14 @@
         trace_lib.OutcomeLine(measure="short_slowdown_p95", at_most=bound)
     ]
     report = player.replay(trace, policy)
-    context.unmet = player.unmet(trace, [report])
+    context.unmet_outcomes = player.unmet_outcomes(trace, [report])
 
 
 @then('replaying it reports "{words}"')
 def replay_reports(context, words):
-    assert any(words in fault for fault in context.unmet), context.unmet
+    assert any(
+        words in fault for fault in context.unmet_outcomes
+    ), context.unmet_outcomes
 
 
 @when("a trace holds the line {line}")
--- a/features/steps/whole_path_steps.py
+++ b/features/steps/whole_path_steps.py
@@ -37,14 +37,16 @@
 
 @when('a caller asks "{entry}" for {tokens:d} tokens')
 def ask_tokens(context, entry, tokens):
-    context.response = context.fleet.complete(entry, "a question", tokens)
+    context.response = context.fleet.request_completion(
+        entry, "a question", tokens
+    )
 
 
 @then("the answer is whole with {tokens:d} tokens")
 def check_whole(context, tokens):
     assert context.response.code == 200, context.response.body
     text = json.loads(context.response.body)["choices"][0]["text"]
-    assert text.encode() == engine_lib.whole_text(tokens), text
+    assert text.encode() == engine_lib.complete_text(tokens), text
 
 
 @when(
@@ -103,7 +105,7 @@
         # One HTTP client serves one thread.
         own = fleet_lib.Fleet(fleet.folder, listen=fleet.listen)
         prompt = "season of logs " * 20_000
-        answers.append(own.complete(entry, prompt, 3))
+        answers.append(own.request_completion(entry, prompt, 3))
 
     thread = threading.Thread(target=ask)
     thread.start()
--- a/features/support/controlmachine.py
+++ b/features/support/controlmachine.py
@@ -38,7 +38,7 @@
 DUPLICATION = 0.3
 DELAY_S = 0.5
 DRIFT = 0.05
-UNIX_START = 1_800_000_000.0
+START_UNIX_S = 1_800_000_000.0
 SETTLE_S = 40.0
 CALL_TIMEOUT_S = 6.0
 RETRY_S = 0.2
@@ -49,7 +49,7 @@
 CALLS_PER_OPERATION = 8
 # Trailing blanks of a patch in a burst, so that a few fill a message.
 PADDING = b" " * 3000
-KEY_TIME = UNIX_START
+KEY_TIME = START_UNIX_S
 
 
 class CrashedError(Exception):
@@ -184,7 +184,7 @@
             replica=self.identity(replica),
             storage=replica.disk,
             send=self.sender(replica),
-            wall=lambda: UNIX_START + self.now,
+            wall=lambda: START_UNIX_S + self.now,
             rng=random.Random(self.rng.random()),
             started_at=self.clock(replica),
             all_applied=self.applied,
--- a/features/support/requestmachine.py
+++ b/features/support/requestmachine.py
@@ -151,7 +151,7 @@
             assert record.answer.body == wanted, record.answer
             return
         data = b"".join(record.data)
-        assert data == engine_lib.whole_text(request.output_tokens), data
+        assert data == engine_lib.complete_text(request.output_tokens), data
 
     def check_version(self, entry) -> None:
         """Check that versions never revert and are young in force."""
@@ -301,7 +301,7 @@
             deadline_at=self.world.network.now + seconds,
             non_idempotent=True,
             idempotency_key=key,
-            key_time=simcontrol.UNIX_START,
+            key_time=simcontrol.START_UNIX_S,
             body_hash=f"{key}{body}",
         )
 
--- a/src/_coltsfootroad/commands/common.py
+++ b/src/_coltsfootroad/commands/common.py
@@ -26,7 +26,7 @@
 VERSION = flags.DEFINE_bool("version", False, "Show the version and stop.")
 
 
-HELP_WORDS = ("-h", "--help", "-help")
+HELP_FLAGS = ("-h", "--help", "-help")
 
 
 def start(main: Callable[[list[str]], int], usage: str = "") -> None:
@@ -35,12 +35,12 @@
     `usage` says what the program does; it is shown by `--help`, above the
     flags.
     """
-    if usage and any(word in HELP_WORDS for word in sys.argv[1:]):
+    if usage and any(word in HELP_FLAGS for word in sys.argv[1:]):
         print(usage.strip())
         print(flags_help())
         sys.exit(EXIT_OK)
 
-    def guarded(arguments: list[str]) -> int:
+    def run_main(arguments: list[str]) -> int:
         if VERSION.value:
             print(version.VERSION)
             return EXIT_OK
@@ -50,7 +50,7 @@
     gc.freeze()
     gc.enable()
     try:
-        sys.exit(guarded(parse_flags(sys.argv)))
+        sys.exit(run_main(parse_flags(sys.argv)))
     finally:
         if commandline.is_server(sys.argv):
             startsignals.ignore()
@@ -58,9 +58,13 @@
 
 def flags_help() -> str:
     """Return the help of the project's own flags."""
-    known = flags.FLAGS.flags_by_module_dict()
-    own = [name for name in known if name.startswith("_coltsfootroad")]
-    return "\n".join(flags.FLAGS.module_help(name) for name in sorted(own))
+    flags_by_module = flags.FLAGS.flags_by_module_dict()
+    own_modules = [
+        name for name in flags_by_module if name.startswith("_coltsfootroad")
+    ]
+    return "\n".join(
+        flags.FLAGS.module_help(name) for name in sorted(own_modules)
+    )
 
 
 def parse_flags(arguments: list[str]) -> list[str]:
@@ -71,7 +75,7 @@
         reject_usage(f"{error}; see --help")
 
 
-def complain(message: str) -> None:
+def print_error(message: str) -> None:
     """Write a message to standard error."""
     print(message, file=sys.stderr)
 
@@ -90,7 +94,7 @@
     """Write what is wrong and end, whatever signals arrive meanwhile."""
     if commandline.is_server(sys.argv):
         startsignals.ignore()
-    complain(message)
+    print_error(message)
     sys.exit(EXIT_USAGE)
 
 
@@ -102,23 +106,23 @@
     signals = processsignals.PROCESS
     signals.install()
 
-    async def attached() -> int:
+    async def run_main() -> int:
         signals.attach(asyncio.get_running_loop())
         return await main()
 
     try:
-        return asyncio.run(attached())
+        return asyncio.run(run_main())
     except listening.ListenError as error:
-        complain(str(error))
+        print_error(str(error))
         return EXIT_FAILED
     finally:
         signals.ignore()
 
 
 async def wait_for_stop(
-    broken: list[asyncio.Future],
+    failures: list[asyncio.Future],
     dump: Callable[[], bytes],
-    asked: asyncio.Future | None = None,
+    stop_requested: asyncio.Future | None = None,
 ) -> bool:
     """Wait for SIGTERM, SIGINT or `asked`; False on a broken invariant.
 
@@ -126,7 +130,9 @@
     a dump of the state to standard error, also while the program drains.
     """
     loop = asyncio.get_running_loop()
-    stop = asked if asked is not None else loop.create_future()
+    stop = (
+        stop_requested if stop_requested is not None else loop.create_future()
+    )
 
     def on_stop() -> None:
         if not stop.done():
@@ -136,7 +142,7 @@
     signals.set_action(signal.SIGUSR1, lambda: write_dump(dump))
     signals.set_stop_action(on_stop)
     done, _ = await asyncio.wait(
-        [stop, *broken], return_when=asyncio.FIRST_COMPLETED
+        [stop, *failures], return_when=asyncio.FIRST_COMPLETED
     )
     failed = [future for future in done if future is not stop]
     for future in failed:
@@ -144,7 +150,7 @@
     return not failed
 
 
-def on_reload(action: Callable[[], None]) -> None:
+def set_reload_action(action: Callable[[], None]) -> None:
     """Run an action whenever SIGHUP comes, until the program stops."""
     processsignals.PROCESS.set_action(signal.SIGHUP, action)
 
--- a/src/_coltsfootroad/commands/control.py
+++ b/src/_coltsfootroad/commands/control.py
@@ -16,7 +16,7 @@
 
 LOG = logs.logger("main")
 # Adds a platform's own calls at an address, passed on by a way to the leader.
-Adapt = Callable[[links.ControlLink, str], None]
+AddPlatformApi = Callable[[links.ControlLink, str], None]
 BOOTSTRAP = flags.DEFINE_bool(
     "bootstrap",
     False,
@@ -36,7 +36,7 @@
     )
 
 
-def no_adapter(_link: links.ControlLink, _address: str) -> None:
+def add_no_platform_api(_link: links.ControlLink, _address: str) -> None:
     """Add no calls of a platform."""
 
 
@@ -54,61 +54,63 @@
         LOG.error("settings not reloaded", fault=loaded.error)
 
 
-async def serve(
+async def run_replica(
     settings: settings_lib.ControlSettings,
     bootstrap: bool,
-    adapt: Adapt = no_adapter,
+    add_platform_api: AddPlatformApi = add_no_platform_api,
 ) -> int:
     """Run a replica until it is told to stop."""
     server = build(settings)
     if settings.begins_system():
         server.bootstrap()
     elif bootstrap and not server.bootstrap():
-        common.complain(
+        common.print_error(
             f"--bootstrap: data folder {settings.data_folder} is in use"
             " already; start without the flag"
         )
         return common.EXIT_USAGE
-    adapt(controlserver.LeaderLink(server), settings.api_listen)
+    add_platform_api(controlserver.LeaderLink(server), settings.api_listen)
     await server.start()
-    common.on_reload(lambda: reload(server))
+    common.set_reload_action(lambda: reload(server))
     # They may have changed between the first reading and now.
     reload(server)
-    went_well = await common.wait_for_stop([server.broken], server.dump)
+    stopped_normally = await common.wait_for_stop([server.broken], server.dump)
     await server.stop()
-    return common.EXIT_OK if went_well else common.EXIT_FAILED
+    return common.EXIT_OK if stopped_normally else common.EXIT_FAILED
 
 
-async def serve_relay(
-    settings: settings_lib.ControlSettings, adapt: Adapt
+async def run_relay(
+    settings: settings_lib.ControlSettings, add_platform_api: AddPlatformApi
 ) -> int:
     """Run a process without a disk until it is told to stop."""
     relay = controlrelay.ControlRelay(
         settings, controlserver.relay_of(settings)
     )
-    adapt(relay.link, settings.api_listen)
+    add_platform_api(relay.link, settings.api_listen)
     await relay.start()
-    common.on_reload(lambda: reload(relay))
-    went_well = await common.wait_for_stop([relay.broken], relay.dump)
+    common.set_reload_action(lambda: reload(relay))
+    stopped_normally = await common.wait_for_stop([relay.broken], relay.dump)
     await relay.stop()
-    return common.EXIT_OK if went_well else common.EXIT_FAILED
+    return common.EXIT_OK if stopped_normally else common.EXIT_FAILED
 
 
 def main(_: list[str]) -> int:
     """Run a replica."""
-    return main_with(no_adapter)
+    return main_with(add_no_platform_api)
 
 
-def main_with(adapt: Adapt) -> int:
+def main_with(add_platform_api: AddPlatformApi) -> int:
     """Run a replica to which a platform's calls are added."""
     settings = common.read_settings(settings_lib.ControlSettings)
     logs.start(settings.log_level, structured=settings.structured_logs)
     if not settings.data_folder:
-        return common.run_loop(lambda: serve_relay(settings, adapt))
+        return common.run_loop(lambda: run_relay(settings, add_platform_api))
     try:
-        return common.run_loop(lambda: serve(settings, BOOTSTRAP.value, adapt))
+        return common.run_loop(
+            lambda: run_replica(settings, BOOTSTRAP.value, add_platform_api)
+        )
     except disk_lib.DiskError as error:
-        common.complain(str(error))
+        common.print_error(str(error))
         return common.EXIT_FAILED
 
 
--- a/src/_coltsfootroad/commands/ctl.py
+++ b/src/_coltsfootroad/commands/ctl.py
@@ -19,7 +19,7 @@
 
 EXIT_UNREACHABLE = 4
 
-VERSION_FLAG = flags.DEFINE_integer(
+BASE_VERSION = flags.DEFINE_integer(
     "base", None, "Version that a patch is written against."
 )
 PATCH_ID = flags.DEFINE_string(
@@ -52,41 +52,41 @@
   dump ADMIN_ADDRESS         a process's state"""
 
 
-def config_get(client: ctlclient.Client) -> int:
+def get_config(client: ctlclient.Client) -> int:
     """Show the configuration."""
-    response = client.ask("/v1/config")
+    response = client.call_leader("/v1/config")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     document = json.loads(response.body)
     text = json.dumps(document["config"], indent=2)
-    ctlclient.show(document, f"version {document['version']}\n{text}")
+    ctlclient.print_result(document, f"version {document['version']}\n{text}")
     return common.EXIT_OK
 
 
-def config_patch(client: ctlclient.Client, source: str) -> int:
+def patch_config(client: ctlclient.Client, source: str) -> int:
     """Patch the configuration."""
-    if VERSION_FLAG.value is None:
-        common.complain("config patch needs --base=VERSION")
+    if BASE_VERSION.value is None:
+        common.print_error("config patch needs --base=VERSION")
         return common.EXIT_USAGE
     try:
         body = read_source(source)
     except OSError as error:
-        common.complain(f"patch {source}: {error.strerror}")
+        common.print_error(f"patch {source}: {error.strerror}")
         return common.EXIT_USAGE
     patch_id = PATCH_ID.value or uuid.uuid4().hex
-    response = client.ask(
+    response = client.call_leader(
         "/v1/config",
         method="PATCH",
         body=body,
         headers={
-            "If-Match": str(VERSION_FLAG.value),
+            "If-Match": str(BASE_VERSION.value),
             "X-Patch-Id": patch_id,
         },
     )
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     document = json.loads(response.body) | {"patch_id": patch_id}
-    ctlclient.show(document, f"version {document['version']} accepted")
+    ctlclient.print_result(document, f"version {document['version']} accepted")
     return common.EXIT_OK
 
 
@@ -97,40 +97,42 @@
     return pathlib.Path(source).read_bytes()
 
 
-def config_watch(client: ctlclient.Client, text: str) -> int:
+def wait_for_version(client: ctlclient.Client, text: str) -> int:
     """Wait until a version is in force at every live entry."""
     if not text.isdigit():
-        common.complain(f"config watch needs a version number, not {text!r}")
+        common.print_error(f"config watch needs a version number, not {text!r}")
         return common.EXIT_USAGE
-    end = time.monotonic() + client.settings.timeout_s
-    behind = []
-    while time.monotonic() < end:
+    deadline = time.monotonic() + client.settings.timeout_s
+    outdated = []
+    while time.monotonic() < deadline:
         entries = read_status(client).get("entries", [])
-        behind = [
+        outdated = [
             e["entry"] for e in entries if e["config_version"] < int(text)
         ]
-        if not behind:
-            ctlclient.show(
+        if not outdated:
+            ctlclient.print_result(
                 {"in_force": True, "entries": len(entries)},
                 f"version {text} in force at {len(entries)} entries",
             )
             return common.EXIT_OK
         time.sleep(ctlclient.RETRY_PAUSE_S)
-    ctlclient.show({"in_force": False, "behind": behind}, f"behind: {behind}")
+    ctlclient.print_result(
+        {"in_force": False, "behind": outdated}, f"behind: {outdated}"
+    )
     return common.EXIT_FAILED
 
 
 def read_status(client: ctlclient.Client) -> dict:
     """Return the leader's status, empty when refused."""
-    response = client.ask("/v1/status")
+    response = client.call_leader("/v1/status")
     return json.loads(response.body) if response.code == 200 else {}
 
 
 def status(client: ctlclient.Client) -> int:
     """Show the whole status."""
-    response = client.ask("/v1/status")
+    response = client.call_leader("/v1/status")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     document = json.loads(response.body)
     lines = [
         f"leader {document['leader']}, term {document['term']},"
@@ -139,7 +141,7 @@
         *member_lines(document),
         *endpoint_lines(document),
     ]
-    ctlclient.show(document, "\n".join(lines))
+    ctlclient.print_result(document, "\n".join(lines))
     return common.EXIT_OK
 
 
@@ -148,7 +150,7 @@
     return [
         f"replica {r['identity']} at {r['address']}:"
         f" {'voter' if r['voter'] else 'learner'}, {r['state']},"
-        f" {r['behind']} entries behind"
+        f" {r['outdated']} entries behind"
         for r in document["replicas"]
     ]
 
@@ -173,34 +175,36 @@
     ]
 
 
-def listing(client: ctlclient.Client, key: str, lines) -> int:
+def show_status_list(client: ctlclient.Client, key: str, lines) -> int:
     """Show one part of the status."""
-    response = client.ask("/v1/status")
+    response = client.call_leader("/v1/status")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     document = json.loads(response.body)
-    ctlclient.show(document[key], "\n".join(lines(document)) or "none")
+    ctlclient.print_result(document[key], "\n".join(lines(document)) or "none")
     return common.EXIT_OK
 
 
-def replica_change(client: ctlclient.Client, document: dict) -> int:
+def change_replica_set(client: ctlclient.Client, document: dict) -> int:
     """Ask for one change of the set of replicas; return an exit code."""
-    response = client.ask(
+    response = client.call_leader(
         "/v1/replica", method="POST", body=json.dumps(document)
     )
     return (
-        common.EXIT_OK if response.code == 200 else ctlclient.refused(response)
+        common.EXIT_OK
+        if response.code == 200
+        else ctlclient.report_failure(response)
     )
 
 
-def replica_add(client: ctlclient.Client, address: str) -> int:
+def add_replica(client: ctlclient.Client, address: str) -> int:
     """Add a replica: as a learner first, as a voter once it caught up."""
     response = client.fetch(address, "/v1/replica")
     if response is None or response.code != 200:
-        common.complain(f"replica at {address} does not answer")
+        common.print_error(f"replica at {address} does not answer")
         return EXIT_UNREACHABLE
     replica = json.loads(response.body)["replica"]
-    code = replica_change(client, {"action": "learn", "replica": replica})
+    code = change_replica_set(client, {"action": "learn", "replica": replica})
     if code != common.EXIT_OK:
         return code
     document = {
@@ -208,25 +212,27 @@
         "replica": replica,
         "replaces": REPLACES.value,
     }
-    end = time.monotonic() + client.settings.timeout_s
-    while time.monotonic() < end:
-        response = client.try_once(
+    deadline = time.monotonic() + client.settings.timeout_s
+    while time.monotonic() < deadline:
+        response = client.call_leader_once(
             "/v1/replica", method="POST", body=json.dumps(document)
         )
         if response is not None and response.code == 200:
             identity = f"{replica['name']}#{replica['disk']}"
-            ctlclient.show({"voter": identity}, f"replica {identity} votes")
+            ctlclient.print_result(
+                {"voter": identity}, f"replica {identity} votes"
+            )
             return common.EXIT_OK
         time.sleep(ctlclient.RETRY_PAUSE_S)
-    common.complain("the replica learns but has not caught up; run it again")
+    common.print_error("the replica learns but has not caught up; run it again")
     return common.EXIT_FAILED
 
 
-def replica_remove(client: ctlclient.Client, identity: str) -> int:
+def remove_replica(client: ctlclient.Client, identity: str) -> int:
     """Take a replica out of the set."""
     known = {r["identity"]: r for r in read_status(client)["replicas"]}
     if identity not in known:
-        common.complain(f"replica {identity!r} is not known: {list(known)}")
+        common.print_error(f"replica {identity!r} is not known: {list(known)}")
         return common.EXIT_FAILED
     name, _, disk = identity.partition("#")
     replica = {
@@ -234,19 +240,21 @@
         "disk": disk,
         "address": known[identity]["address"],
     }
-    code = replica_change(client, {"action": "remove", "replica": replica})
+    code = change_replica_set(client, {"action": "remove", "replica": replica})
     if code == common.EXIT_OK:
-        ctlclient.show({"removed": identity}, f"replica {identity} removed")
+        ctlclient.print_result(
+            {"removed": identity}, f"replica {identity} removed"
+        )
     return code
 
 
 def snapshot(client: ctlclient.Client, path: str) -> int:
     """Write a backup."""
-    response = client.ask("/v1/snapshot")
+    response = client.call_leader("/v1/snapshot")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     pathlib.Path(path).write_bytes(response.body)
-    ctlclient.show(
+    ctlclient.print_result(
         {"bytes": len(response.body)}, f"{len(response.body)} bytes written"
     )
     return common.EXIT_OK
@@ -258,7 +266,7 @@
     if response is None:
         raise ctlclient.Unreachable(f"{address} does not answer")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     print(response.body.decode())
     return common.EXIT_OK
 
@@ -269,26 +277,26 @@
     if response is None:
         raise ctlclient.Unreachable(f"{address} does not answer")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     document = json.loads(response.body)
     seconds = document["accepts_for_s"]
-    ctlclient.show(
+    ctlclient.print_result(
         document, f"{address} leaves; it accepts for {seconds} s more"
     )
     return common.EXIT_OK
 
 
-def carry_out(client: ctlclient.Client, words: list[str]) -> int:
+def run_command(client: ctlclient.Client, arguments: list[str]) -> int:
     """Run one command."""
-    match words:
+    match arguments:
         case ["config", *rest]:
             return config(client, rest)
         case ["status"]:
             return status(client)
         case ["endpoints"]:
-            return listing(client, "endpoints", endpoint_lines)
+            return show_status_list(client, "endpoints", endpoint_lines)
         case ["members"]:
-            return listing(client, "entries", member_lines)
+            return show_status_list(client, "entries", member_lines)
         case ["replica", *rest]:
             return replica(client, rest)
         case ["quarantine", *rest]:
@@ -299,61 +307,61 @@
             return dump(client, address)
         case ["drain", address]:
             return drain(client, address)
-    common.complain(f"unknown command {' '.join(words)!r}\n{USAGE}")
+    common.print_error(f"unknown command {' '.join(arguments)!r}\n{USAGE}")
     return common.EXIT_USAGE
 
 
-def config(client: ctlclient.Client, words: list[str]) -> int:
+def config(client: ctlclient.Client, arguments: list[str]) -> int:
     """Run one command on the configuration."""
-    match words:
+    match arguments:
         case ["get"]:
-            return config_get(client)
+            return get_config(client)
         case ["patch", source]:
-            return config_patch(client, source)
+            return patch_config(client, source)
         case ["watch", text]:
-            return config_watch(client, text)
-    common.complain(f"unknown config command\n{USAGE}")
+            return wait_for_version(client, text)
+    common.print_error(f"unknown config command\n{USAGE}")
     return common.EXIT_USAGE
 
 
-def replica(client: ctlclient.Client, words: list[str]) -> int:
+def replica(client: ctlclient.Client, arguments: list[str]) -> int:
     """Run one command on replicas."""
-    match words:
+    match arguments:
         case ["list"]:
-            return listing(client, "replicas", replica_lines)
+            return show_status_list(client, "replicas", replica_lines)
         case ["add", address]:
-            return replica_add(client, address)
+            return add_replica(client, address)
         case ["remove", identity]:
-            return replica_remove(client, identity)
-    common.complain(f"unknown replica command\n{USAGE}")
+            return remove_replica(client, identity)
+    common.print_error(f"unknown replica command\n{USAGE}")
     return common.EXIT_USAGE
 
 
-def quarantine(client: ctlclient.Client, words: list[str]) -> int:
+def quarantine(client: ctlclient.Client, arguments: list[str]) -> int:
     """Run one command on requests in quarantine."""
-    match words:
+    match arguments:
         case ["list"]:
-            return quarantinectl.show_all(client)
+            return quarantinectl.list_entries(client)
         case ["add", workspace, body_bytes, fingerprint, reason]:
             return quarantinectl.add(
                 client, workspace, body_bytes, fingerprint, reason
             )
         case ["remove", fingerprint]:
             return quarantinectl.remove(client, fingerprint)
-    common.complain(f"unknown quarantine command\n{USAGE}")
+    common.print_error(f"unknown quarantine command\n{USAGE}")
     return common.EXIT_USAGE
 
 
 def main(arguments: list[str]) -> int:
     """Run the program."""
     if not arguments[1:]:
-        common.complain(USAGE)
+        common.print_error(USAGE)
         return common.EXIT_USAGE
     settings = common.read_settings(settings_lib.CtlSettings)
     try:
-        return carry_out(ctlclient.Client(settings), arguments[1:])
+        return run_command(ctlclient.Client(settings), arguments[1:])
     except ctlclient.Unreachable as error:
-        common.complain(str(error))
+        common.print_error(str(error))
         return EXIT_UNREACHABLE
 
 
--- a/src/_coltsfootroad/commands/ctlclient.py
+++ b/src/_coltsfootroad/commands/ctlclient.py
@@ -43,41 +43,41 @@
         except (OSError, pycurl.error, tornado.httpclient.HTTPError):
             return None
 
-    def ask(self, path: str, **arguments):
+    def call_leader(self, path: str, **arguments):
         """Return the leader's response.
 
         Asking again is safe: reads change nothing, patches carry an id, and
         changes of replicas say what the set is to be.
         """
-        end = time.monotonic() + self.settings.timeout_s
-        while time.monotonic() < end:
+        deadline = time.monotonic() + self.settings.timeout_s
+        while time.monotonic() < deadline:
             for address in self.settings.control:
                 response = self.fetch(address, path, **dict(arguments))
-                if response is not None and not is_elsewhere(response):
+                if response is not None and not is_leader_unavailable(response):
                     return response
             time.sleep(RETRY_PAUSE_S)
         raise Unreachable("no replica that leads answered in time")
 
-    def try_once(self, path: str, **arguments):
+    def call_leader_once(self, path: str, **arguments):
         """Return the first answer of a leader, None if none leads."""
         for address in self.settings.control:
             response = self.fetch(address, path, **dict(arguments))
-            if response is not None and not is_elsewhere(response):
+            if response is not None and not is_leader_unavailable(response):
                 return response
         return None
 
 
-def is_elsewhere(response) -> bool:
+def is_leader_unavailable(response) -> bool:
     """Return whether a response says to ask another replica or again."""
     return response.code in (503, 599)
 
 
-def show(value: object, text: str) -> None:
+def print_result(value: object, text: str) -> None:
     """Write a result as JSON or as text."""
     print(json.dumps(value) if JSON.value else text)
 
 
-def refused(response) -> int:
+def report_failure(response) -> int:
     """Show a refusal; return its exit code."""
     try:
         error = json.loads(response.body)["error"]
@@ -85,6 +85,6 @@
         error = {"code": "failed", "message": f"status {response.code}"}
     if JSON.value:
         print(json.dumps({"error": error}))
-    common.complain(f"{error['code']}: {error['message']}")
+    common.print_error(f"{error['code']}: {error['message']}")
     stale = error["code"] == "stale_version"
     return EXIT_STALE if stale else common.EXIT_FAILED
--- a/src/_coltsfootroad/commands/gateway.py
+++ b/src/_coltsfootroad/commands/gateway.py
@@ -36,12 +36,12 @@
     """Run a gateway until it is told to stop."""
     gateway = build(settings, dialect)
     await gateway.start()
-    common.on_reload(lambda: reload(gateway))
+    common.set_reload_action(lambda: reload(gateway))
     # They may have changed between the first reading and now.
     reload(gateway)
-    went_well = await common.wait_for_stop([], gateway.dump)
+    stopped_normally = await common.wait_for_stop([], gateway.dump)
     await gateway.drain()
-    return common.EXIT_OK if went_well else common.EXIT_FAILED
+    return common.EXIT_OK if stopped_normally else common.EXIT_FAILED
 
 
 def main_with(dialect: dialect_lib.Dialect) -> int:
--- a/src/_coltsfootroad/commands/quarantinectl.py
+++ b/src/_coltsfootroad/commands/quarantinectl.py
@@ -9,23 +9,23 @@
 PATH = "/v1/quarantine"
 
 
-def show_all(client: ctlclient.Client) -> int:
+def list_entries(client: ctlclient.Client) -> int:
     """Show what is refused."""
-    response = client.ask(PATH)
+    response = client.call_leader(PATH)
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     entries = json.loads(response.body)["entries"]
-    lines = [line_of(entry, time.time()) for entry in entries]
-    ctlclient.show(entries, "\n".join(lines) or "none")
+    lines = [format_entry(entry, time.time()) for entry in entries]
+    ctlclient.print_result(entries, "\n".join(lines) or "none")
     return common.EXIT_OK
 
 
-def line_of(entry: dict, unix_s: float) -> str:
+def format_entry(entry: dict, unix_s: float) -> str:
     """Return what people are shown of an entry."""
     trial = "no trial"
     if entry["trial_at"] is not None:
-        left_s = max(0, round(entry["trial_at"] - unix_s))
-        trial = f"trial in {left_s} s"
+        remaining_s = max(0, round(entry["trial_at"] - unix_s))
+        trial = f"trial in {remaining_s} s"
     return (
         f"{entry['fingerprint']} of workspace {entry['workspace']!r},"
         f" {entry['body_bytes']} bytes: {entry['reason']},"
@@ -44,7 +44,7 @@
 ) -> int:
     """Refuse a request from now on."""
     if not body_bytes.isdigit():
-        common.complain(f"BODY_BYTES must be a number, not {body_bytes!r}")
+        common.print_error(f"BODY_BYTES must be a number, not {body_bytes!r}")
         return common.EXIT_USAGE
     document = {
         "workspace": workspace,
@@ -52,18 +52,20 @@
         "fingerprint": fingerprint,
         "reason": reason,
     }
-    response = client.ask(PATH, method="POST", body=json.dumps(document))
+    response = client.call_leader(
+        PATH, method="POST", body=json.dumps(document)
+    )
     if response.code != 200:
-        return ctlclient.refused(response)
-    ctlclient.show(document, f"{fingerprint} is in quarantine")
+        return ctlclient.report_failure(response)
+    ctlclient.print_result(document, f"{fingerprint} is in quarantine")
     return common.EXIT_OK
 
 
 def remove(client: ctlclient.Client, fingerprint: str) -> int:
     """Run a request again."""
-    response = client.ask(f"{PATH}/{fingerprint}", method="DELETE")
+    response = client.call_leader(f"{PATH}/{fingerprint}", method="DELETE")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     text = f"{fingerprint} is out of quarantine"
-    ctlclient.show({"removed": fingerprint}, text)
+    ctlclient.print_result({"removed": fingerprint}, text)
     return common.EXIT_OK
--- a/src/_coltsfootroad/commands/standalone.py
+++ b/src/_coltsfootroad/commands/standalone.py
@@ -56,8 +56,8 @@
     async def wait_for_leader(self) -> None:
         """Wait until the only replica leads."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + LEADER_WAIT_S
-        while self.control.node.hub is None and loop.time() < end:
+        deadline = loop.time() + LEADER_WAIT_S
+        while self.control.node.hub is None and loop.time() < deadline:
             await asyncio.sleep(POLL_S)
 
     async def put_config(self) -> None:
@@ -141,9 +141,9 @@
 ) -> list[httpendpoint.FakeEndpoint]:
     """Return the stand-in endpoints: engines, and one plain service."""
     host, port = settings_lib.split_address(settings.listen)
-    found = []
+    fakes = []
     for number in range(settings.fake_engines):
-        found.append(
+        fakes.append(
             httpendpoint.FakeEndpoint(
                 name=f"engine-{number}",
                 service="assistant",
@@ -153,7 +153,7 @@
             )
         )
     if settings.fake_engines:
-        found.append(
+        fakes.append(
             httpendpoint.FakeEndpoint(
                 name="billing-0",
                 service="billing",
@@ -163,7 +163,7 @@
                 incarnation=entry_command.new_incarnation(),
             )
         )
-    return found
+    return fakes
 
 
 def main(_: list[str]) -> int:
@@ -175,15 +175,15 @@
         system = build(settings)
         await system.start()
         LOG.info("try: curl http://{}/v1/addresses", settings.listen)
-        broken = [system.entry.broken, system.control.broken]
-        went_well = await common.wait_for_stop(broken, system.dump)
+        failures = [system.entry.broken, system.control.broken]
+        stopped_normally = await common.wait_for_stop(failures, system.dump)
         await system.stop()
-        return common.EXIT_OK if went_well else common.EXIT_FAILED
+        return common.EXIT_OK if stopped_normally else common.EXIT_FAILED
 
     try:
         return common.run_loop(serve)
     except disk_lib.DiskError as error:
-        common.complain(str(error))
+        common.print_error(str(error))
         return common.EXIT_FAILED
 
 
--- a/src/_coltsfootroad/fakes/engine.py
+++ b/src/_coltsfootroad/fakes/engine.py
@@ -16,8 +16,8 @@
 from _coltsfootroad.core import prefixes
 from _coltsfootroad.core import request as request_lib
 
-PIECES = 4
-MAX_BLOCKS = 2_048
+LATER_CHUNKS = 4
+MAX_CACHED_BLOCKS = 2_048
 
 
 @attrs.frozen(kw_only=True)
@@ -48,10 +48,10 @@
     resume_offset: int = 0
     prefix_hashes: tuple[str, ...] = ()
     number: int = 0
-    left: float = 0.0
+    remaining_tokens: float = 0.0
     admitted: bool = False
-    read: bool = False
-    pieces: list[request_lib.Chunk] = attrs.Factory(list)
+    is_prefilled: bool = False
+    pending_chunks: list[request_lib.Chunk] = attrs.Factory(list)
 
 
 @attrs.frozen(kw_only=True)
@@ -63,24 +63,26 @@
 
 
 @attrs.define
-class GroupBook:
+class GroupPrefills:
     """Which parts of groups have been read, over all engines."""
 
-    waiting: dict[endpoints.WorkKey, dict[int, object]] = attrs.Factory(dict)
+    prefilled_parts: dict[endpoints.WorkKey, dict[int, object]] = attrs.Factory(
+        dict
+    )
 
-    def part_read(self, engine, job: Job, now: float) -> None:
+    def add_prefilled_part(self, engine, job: Job, now: float) -> None:
         """Start generating at the leader once all parts are read."""
-        parts = self.waiting.setdefault(job.key, {})
+        parts = self.prefilled_parts.setdefault(job.key, {})
         parts[job.part] = (engine, job)
         if len(parts) < job.parts:
             return
-        del self.waiting[job.key]
+        del self.prefilled_parts[job.key]
         leader_engine, leader = parts[0]
         leader_engine.start_decode(leader, now)
 
-    def forget(self, key: endpoints.WorkKey) -> None:
+    def drop_group(self, key: endpoints.WorkKey) -> None:
         """Drop a group that was cancelled."""
-        self.waiting.pop(key, None)
+        self.prefilled_parts.pop(key, None)
 
 
 @attrs.define(eq=False)
@@ -89,22 +91,24 @@
 
     name: str
     speed: EngineSpeed
-    book: GroupBook = attrs.Factory(GroupBook)
+    group_prefills: GroupPrefills = attrs.Factory(GroupPrefills)
     jobs: dict[endpoints.WorkKey, Job] = attrs.Factory(dict)
     queue: list[tuple[int, int, Job]] = attrs.Factory(list)
-    current: Job | None = None
-    current_tokens: float = 0.0
-    current_end: float = 0.0
+    prefilling_job: Job | None = None
+    prefill_chunk_tokens: float = 0.0
+    prefill_chunk_end: float = 0.0
     timers: list[tuple[float, int, Job]] = attrs.Factory(list)
     number: int = 0
     kv_used: int = 0
     slow_factor: float = 1.0
-    blocks: collections.OrderedDict = attrs.Factory(collections.OrderedDict)
+    cached_blocks: collections.OrderedDict = attrs.Factory(
+        collections.OrderedDict
+    )
     cache_seq: int = 0
     cache_events: list[prefixes.CacheEvent] = attrs.Factory(list)
     incarnation: int = 1
     marks: dict[str, int] = attrs.Factory(dict)
-    read_tokens: float = 0.0
+    prefilled_tokens: float = 0.0
 
     def submit(self, job: Job, now: float) -> list[Output]:
         """Take a job; a repeated one changes nothing."""
@@ -114,10 +118,10 @@
             return outputs
         self.number += 1
         job.number = self.number
-        job.left = job.prompt_tokens * (1 - self.cached_share(job))
+        job.remaining_tokens = job.prompt_tokens * (1 - self.cached_share(job))
         self.jobs[job.key] = job
         heapq.heappush(self.queue, (job.priority, job.number, job))
-        self.start_chunk(now)
+        self.start_prefill_chunk(now)
         return outputs
 
     def cached_share(self, job: Job) -> float:
@@ -126,7 +130,7 @@
             return 0.0
         matched = 0
         for block in job.prefix_hashes:
-            if block not in self.blocks:
+            if block not in self.cached_blocks:
                 break
             matched += 1
         return matched / len(job.prefix_hashes)
@@ -136,11 +140,11 @@
         outputs = self.advance(now)
         job = self.jobs.pop(key, None)
         if job is not None:
-            self.free(job)
-            self.book.forget(key)
-            if self.current is job:
-                self.current = None
-            self.start_chunk(now)
+            self.free_memory(job)
+            self.group_prefills.drop_group(key)
+            if self.prefilling_job is job:
+                self.prefilling_job = None
+            self.start_prefill_chunk(now)
         return outputs
 
     def reprioritise(
@@ -148,14 +152,14 @@
     ) -> None:
         """Change the priority of a job that waits."""
         job = self.jobs.get(key)
-        if job is None or job.read:
+        if job is None or job.is_prefilled:
             return
         job.priority = priority
         self.number += 1
         job.number = self.number
         heapq.heappush(self.queue, (priority, job.number, job))
 
-    def free(self, job: Job) -> None:
+    def free_memory(self, job: Job) -> None:
         """Give back the memory of a job."""
         if job.admitted:
             self.kv_used -= job.kv_tokens
@@ -164,8 +168,8 @@
     def next_event(self) -> float | None:
         """Return when something happens next."""
         times = [self.timers[0][0]] if self.timers else []
-        if self.current is not None:
-            times.append(self.current_end)
+        if self.prefilling_job is not None:
+            times.append(self.prefill_chunk_end)
         return min(times, default=None)
 
     def advance(self, now: float) -> list[Output]:
@@ -175,42 +179,42 @@
             at = self.next_event()
             if at is None or at > now:
                 return outputs
-            if self.current is not None and self.current_end == at:
-                self.end_chunk(at)
+            if self.prefilling_job is not None and self.prefill_chunk_end == at:
+                self.end_prefill_chunk(at)
             else:
                 _, _, job = heapq.heappop(self.timers)
-                outputs += self.generate(job, at)
+                outputs += self.emit_next_chunk(job, at)
 
-    def start_chunk(self, now: float) -> None:
+    def start_prefill_chunk(self, now: float) -> None:
         """Begin to read the most urgent prompt that fits into memory."""
-        if self.current is not None:
+        if self.prefilling_job is not None:
             return
         job = self.next_job()
         if job is None:
             return
-        tokens = min(job.left, float(self.speed.chunk_tokens))
-        self.current = job
-        self.current_tokens = tokens
+        tokens = min(job.remaining_tokens, float(self.speed.chunk_tokens))
+        self.prefilling_job = job
+        self.prefill_chunk_tokens = tokens
         rate = self.speed.prefill_rate / self.slow_factor
-        self.current_end = now + tokens / rate
+        self.prefill_chunk_end = now + tokens / rate
 
     def next_job(self) -> Job | None:
         """Return the most urgent job that has or can get its memory."""
-        passed = []
+        skipped = []
         found = None
         while self.queue:
             item = heapq.heappop(self.queue)
             job = item[2]
-            if self.jobs.get(job.key) is not job or job.read:
+            if self.jobs.get(job.key) is not job or job.is_prefilled:
                 continue
             if item[1] != job.number:
                 continue
             if self.admit(job):
                 found = job
-                passed.append(item)
+                skipped.append(item)
                 break
-            passed.append(item)
-        for item in passed:
+            skipped.append(item)
+        for item in skipped:
             heapq.heappush(self.queue, item)
         return found
 
@@ -224,34 +228,36 @@
         job.admitted = True
         return True
 
-    def end_chunk(self, now: float) -> None:
+    def end_prefill_chunk(self, now: float) -> None:
         """End the chunk being read; a read prompt begins to generate."""
-        job = self.current
-        self.current = None
-        self.read_tokens += self.current_tokens
-        job.left -= self.current_tokens
-        if job.left <= 0:
-            job.read = True
-            self.remember_blocks(job)
+        job = self.prefilling_job
+        self.prefilling_job = None
+        self.prefilled_tokens += self.prefill_chunk_tokens
+        job.remaining_tokens -= self.prefill_chunk_tokens
+        if job.remaining_tokens <= 0:
+            job.is_prefilled = True
+            self.cache_blocks(job)
             if job.parts > 1:
-                self.book.part_read(self, job, now)
+                self.group_prefills.add_prefilled_part(self, job, now)
             else:
                 self.start_decode(job, now)
-        self.start_chunk(now)
+        self.start_prefill_chunk(now)
 
     def start_decode(self, job: Job, now: float) -> None:
         """Plan the pieces of the answer, the first token at once."""
-        job.pieces = split_answer(job.output_tokens, job.resume_offset)
+        job.pending_chunks = split_into_chunks(
+            job.output_tokens, job.resume_offset
+        )
         self.number += 1
         heapq.heappush(self.timers, (now, self.number, job))
 
-    def generate(self, job: Job, now: float) -> list[Output]:
+    def emit_next_chunk(self, job: Job, now: float) -> list[Output]:
         """Emit the next piece of a job's answer."""
-        if self.jobs.get(job.key) is not job or not job.pieces:
+        if self.jobs.get(job.key) is not job or not job.pending_chunks:
             return []
-        chunk = job.pieces.pop(0)
-        if job.pieces:
-            seconds = job.pieces[0].tokens * self.speed.token_s
+        chunk = job.pending_chunks.pop(0)
+        if job.pending_chunks:
+            seconds = job.pending_chunks[0].tokens * self.speed.token_s
             self.number += 1
             heapq.heappush(
                 self.timers,
@@ -259,21 +265,21 @@
             )
         else:
             del self.jobs[job.key]
-            self.free(job)
-            self.start_chunk(now)
+            self.free_memory(job)
+            self.start_prefill_chunk(now)
         return [Output(job=job, chunk=chunk)]
 
     # --- cache and reports -----------------------------------------------
 
-    def remember_blocks(self, job: Job) -> None:
+    def cache_blocks(self, job: Job) -> None:
         """Put the blocks of a read prompt into the cache."""
-        stored = [b for b in job.prefix_hashes if b not in self.blocks]
+        stored = [b for b in job.prefix_hashes if b not in self.cached_blocks]
         for block in job.prefix_hashes:
-            self.blocks[block] = True
-            self.blocks.move_to_end(block)
+            self.cached_blocks[block] = True
+            self.cached_blocks.move_to_end(block)
         evicted = []
-        while len(self.blocks) > MAX_BLOCKS:
-            evicted.append(self.blocks.popitem(last=False)[0])
+        while len(self.cached_blocks) > MAX_CACHED_BLOCKS:
+            evicted.append(self.cached_blocks.popitem(last=False)[0])
         if not stored and not evicted:
             return
         self.cache_seq += 1
@@ -287,18 +293,18 @@
             )
         )
 
-    def waiting_tokens(self, now: float) -> tuple[int, ...]:
+    def pending_prefill_tokens(self, now: float) -> tuple[int, ...]:
         """Return the prompt tokens that wait, per priority."""
         totals = [0.0] * lengths.BAND_COUNT
         for job in self.jobs.values():
-            if not job.read:
+            if not job.is_prefilled:
                 band = min(job.priority, lengths.BAND_COUNT - 1)
-                totals[band] += job.left
-        if self.current is not None:
-            band = min(self.current.priority, lengths.BAND_COUNT - 1)
+                totals[band] += job.remaining_tokens
+        if self.prefilling_job is not None:
+            band = min(self.prefilling_job.priority, lengths.BAND_COUNT - 1)
             rate = self.speed.prefill_rate / self.slow_factor
-            undone = (self.current_end - now) * rate
-            totals[band] -= self.current_tokens - max(0.0, undone)
+            undone = (self.prefill_chunk_end - now) * rate
+            totals[band] -= self.prefill_chunk_tokens - max(0.0, undone)
         return tuple(max(0, round(t)) for t in totals)
 
     def report(self, seq: int, now: float) -> endpoints.LoadReport:
@@ -318,7 +324,7 @@
             incarnation=self.incarnation,
             seq=seq,
             measured_at=now,
-            prefill_tokens=self.waiting_tokens(now),
+            prefill_tokens=self.pending_prefill_tokens(now),
             kv_used=self.kv_used,
             running=len(self.jobs),
             marks=dict(self.marks),
@@ -326,25 +332,25 @@
         )
 
 
-def split_answer(tokens: int, offset: int) -> list[request_lib.Chunk]:
+def split_into_chunks(tokens: int, offset: int) -> list[request_lib.Chunk]:
     """Return the pieces of an answer: one token, then a few larger ones.
 
     The text of a token names its place, so that a mixed or gapped answer
     shows.
     """
     if offset >= tokens:
-        return [piece(offset, 0, True)]
-    found = [piece(offset, 1, offset + 1 == tokens)]
-    place = offset + 1
-    while place < tokens:
-        size = max(1, -(-(tokens - offset - 1) // PIECES))
-        size = min(size, tokens - place)
-        found.append(piece(place, size, place + size == tokens))
-        place += size
-    return found
-
-
-def piece(offset: int, tokens: int, final: bool) -> request_lib.Chunk:
+        return [make_chunk(offset, 0, True)]
+    chunks = [make_chunk(offset, 1, offset + 1 == tokens)]
+    position = offset + 1
+    while position < tokens:
+        size = max(1, -(-(tokens - offset - 1) // LATER_CHUNKS))
+        size = min(size, tokens - position)
+        chunks.append(make_chunk(position, size, position + size == tokens))
+        position += size
+    return chunks
+
+
+def make_chunk(offset: int, tokens: int, final: bool) -> request_lib.Chunk:
     """Return one piece of an answer."""
     text = "".join(f"t{n} " for n in range(offset, offset + tokens))
     return request_lib.Chunk(
@@ -352,6 +358,6 @@
     )
 
 
-def whole_text(tokens: int) -> bytes:
+def complete_text(tokens: int) -> bytes:
     """Return the text of a whole answer."""
     return "".join(f"t{n} " for n in range(tokens)).encode()
--- a/src/_coltsfootroad/fakes/fleet.py
+++ b/src/_coltsfootroad/fakes/fleet.py
@@ -20,7 +20,7 @@
 from _coltsfootroad.fakes import ports as ports_lib
 
 HOST = ports_lib.HOST
-TOKEN = "fleet-test-token"
+ADMIN_TOKEN = "fleet-test-token"
 API_KEY = "fleet-test-key"
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 30.0
@@ -92,7 +92,7 @@
     def start(self, config: dict) -> None:
         """Start everything and put a configuration in force."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.allot_addresses()
+        self.assign_addresses()
         for number in range(self.replicas):
             self.write_control(number)
         for number in range(self.entry_count):
@@ -106,7 +106,7 @@
         self.patch(0, config)
         self.wait_for(self.is_ready, "the entries to be ready")
 
-    def allot_addresses(self) -> None:
+    def assign_addresses(self) -> None:
         """Give every process its addresses."""
         names = [f"control-{n}" for n in range(self.replicas)]
         names += [f"entry-{n}" for n in range(self.entry_count)]
@@ -139,7 +139,7 @@
             "replica": name,
             "listen": self.listen[name],
             "admin_listen": self.admin[name],
-            "admin_token": TOKEN,
+            "admin_token": ADMIN_TOKEN,
             "data_folder": str(self.folder / f"{name}-{data}"),
         }
         self.add_program(name, "commands.control", document)
@@ -152,7 +152,7 @@
             "availability_zone": f"zone-{number % 3}",
             "listen": self.listen[name],
             "admin_listen": self.admin[name],
-            "admin_token": TOKEN,
+            "admin_token": ADMIN_TOKEN,
             "peer_listen": self.peer[name],
             "control": [
                 self.listen[f"control-{n}"] for n in range(self.replicas)
@@ -167,7 +167,7 @@
             "control": [
                 self.admin[f"control-{n}"] for n in range(self.replicas)
             ],
-            "admin_token": TOKEN,
+            "admin_token": ADMIN_TOKEN,
         }
         (self.folder / "ctl.json").write_text(json.dumps(document))
 
@@ -208,7 +208,9 @@
         for number in range(1, self.replicas):
             name = f"control-{number}"
             self.programs[name].start()
-            self.wait_for(lambda n=name: self.info(n), f"{name} to answer")
+            self.wait_for(
+                lambda n=name: self.replica_info(n), f"{name} to answer"
+            )
             outcome = self.ctl("replica", "add", self.admin[name])
             if outcome.returncode:
                 raise RuntimeError(f"adding {name}: {outcome.stderr}")
@@ -242,11 +244,11 @@
     def admin_fetch(self, name: str, path: str, **arguments):
         """Return a process's answer on its admin listener."""
         headers = arguments.pop("headers", {})
-        headers["Authorization"] = f"Bearer {TOKEN}"
+        headers["Authorization"] = f"Bearer {ADMIN_TOKEN}"
         url = f"http://{self.admin[name]}{path}"
         return self.fetch(url, headers=headers, **arguments)
 
-    def info(self, name: str) -> dict | None:
+    def replica_info(self, name: str) -> dict | None:
         """Return what a replica says of itself."""
         response = self.admin_fetch(name, "/v1/replica")
         if response is None or response.code != 200:
@@ -270,19 +272,19 @@
         """Patch the configuration; return the exit code."""
         path = self.folder / "patch.json"
         path.write_text(json.dumps(patch))
-        words = ["config", "patch", str(path), f"--base={base}"]
+        arguments = ["config", "patch", str(path), f"--base={base}"]
         if patch_id:
-            words.append(f"--patch_id={patch_id}")
-        return self.ctl(*words).returncode
+            arguments.append(f"--patch_id={patch_id}")
+        return self.ctl(*arguments).returncode
 
-    def ctl(self, *words: str) -> subprocess.CompletedProcess:
+    def ctl(self, *arguments: str) -> subprocess.CompletedProcess:
         """Run `colts-ctl`."""
         return subprocess.run(
             [
                 *module("commands.ctl"),
                 "--settings",
                 str(self.folder / "ctl.json"),
-                *words,
+                *arguments,
             ],
             capture_output=True,
             text=True,
@@ -293,7 +295,7 @@
         """Return whether every entry admits requests and knows the fleet."""
         names = [f"entry-{number}" for number in range(self.entry_count)]
         return all(self.is_healthy(name) for name in names) and all(
-            self.knows_fleet(name) for name in names
+            self.knows_all_members(name) for name in names
         )
 
     def is_healthy(self, entry: str) -> bool:
@@ -301,7 +303,7 @@
         response = self.fetch(f"http://{self.listen[entry]}/health")
         return response is not None and response.code == 200
 
-    def knows_fleet(self, entry: str) -> bool:
+    def knows_all_members(self, entry: str) -> bool:
         """Return whether an entry knows all entries and endpoints.
 
         An entry that starts last is healthy up to a heartbeat before the
@@ -320,7 +322,9 @@
 
     # --- requests --------------------------------------------------------
 
-    def complete(self, entry: str, prompt: str, tokens: int, **headers):
+    def request_completion(
+        self, entry: str, prompt: str, tokens: int, **headers
+    ):
         """Ask for a whole completion."""
         body = {"model": "assistant", "prompt": prompt, "max_tokens": tokens}
         return self.fetch(
--- a/src/_coltsfootroad/fakes/httpendpoint.py
+++ b/src/_coltsfootroad/fakes/httpendpoint.py
@@ -19,9 +19,9 @@
 from _coltsfootroad.shell import web
 
 MAX_BODY_BYTES = 32 * 1024 * 1024
-ANNOUNCE_EVERY_S = 1.0
+ANNOUNCE_INTERVAL_S = 1.0
 # Entries that hear an endpoint directly; the rest hear it by heartbeats.
-ANNOUNCE_TO = 2
+ANNOUNCED_ENTRIES = 2
 POST_TIMEOUT_S = 2.0
 
 
@@ -77,7 +77,7 @@
         )
         self.server = web.listen(app, self.address, MAX_BODY_BYTES)
         self.client = curl_httpclient.CurlAsyncHTTPClient(force_instance=True)
-        self.task = self.loop.create_task(self.announce_forever())
+        self.task = self.loop.create_task(self.announce_periodically())
 
     async def stop(self) -> None:
         """Stop serving at once, as a kill would."""
@@ -90,11 +90,11 @@
         self.state = registry.EndpointState.LEAVING
         await self.announce()
 
-    async def announce_forever(self) -> None:
+    async def announce_periodically(self) -> None:
         """Announce and report while this endpoint lives."""
         while True:
             await self.announce()
-            await asyncio.sleep(ANNOUNCE_EVERY_S)
+            await asyncio.sleep(ANNOUNCE_INTERVAL_S)
 
     async def announce(self) -> None:
         """Announce, and report load and cache events."""
@@ -111,20 +111,22 @@
             kv_tokens=self.speed.kv_tokens,
             max_running=self.speed.max_running,
         )
-        await self.tell_all("announce", announcement)
+        await self.post_to_entries("announce", announcement)
         if self.kind is servicekind.ServiceKind.ENGINE:
             await self.report()
 
     async def report(self) -> None:
         """Report load and cache events."""
-        self.run_model()
+        self.advance_model()
         self.seq += 1
-        await self.tell_all("load", self.model.report(self.seq, self.now()))
+        await self.post_to_entries(
+            "load", self.model.report(self.seq, self.now())
+        )
         events, self.model.cache_events = self.model.cache_events, []
         for event in events:
-            await self.tell_all("cache", event)
+            await self.post_to_entries("cache", event)
 
-    async def tell_all(self, path: str, message: object) -> None:
+    async def post_to_entries(self, path: str, message: object) -> None:
         """Post a message to a few entries; the next ones where some fail.
 
         Cache events go to all: nobody passes them on.
@@ -133,9 +135,9 @@
         ranked = sorted(
             self.entries, key=lambda e: hashing.stable_hash(self.name, e)
         )
-        wanted = len(ranked) if path == "cache" else ANNOUNCE_TO
+        remaining = len(ranked) if path == "cache" else ANNOUNCED_ENTRIES
         for entry in ranked:
-            if not wanted:
+            if not remaining:
                 return
             request = tornado.httpclient.HTTPRequest(
                 f"http://{entry}/v1/endpoints/{path}",
@@ -149,7 +151,7 @@
                 await self.client.fetch(request)
             except tornado.httpclient.HTTPError:
                 continue
-            wanted -= 1
+            remaining -= 1
 
     # --- engine ----------------------------------------------------------
 
@@ -161,39 +163,39 @@
         """Start a job; its chunks come over the queue."""
         queue: asyncio.Queue = asyncio.Queue()
         self.queues[job.key] = queue
-        self.count_run(job.key[0])
-        self.hand_out(self.model.submit(job, self.now()))
-        self.plan()
+        self.count_start(job.key[0])
+        self.queue_outputs(self.model.submit(job, self.now()))
+        self.schedule_model()
         return queue
 
-    def count_run(self, name: str) -> None:
+    def count_start(self, name: str) -> None:
         """Count that work began."""
         self.runs[name] = self.runs.get(name, 0) + 1
 
     def cancel(self, key) -> None:
         """Cancel a job and end its stream."""
-        self.hand_out(self.model.cancel(key, self.now()))
+        self.queue_outputs(self.model.cancel(key, self.now()))
         queue = self.queues.pop(key, None)
         if queue is not None:
             queue.put_nowait(None)
-        self.plan()
+        self.schedule_model()
 
-    def run_model(self) -> None:
+    def advance_model(self) -> None:
         """Bring the model up to now."""
         self.timer = None
-        self.hand_out(self.model.advance(self.now()))
-        self.plan()
+        self.queue_outputs(self.model.advance(self.now()))
+        self.schedule_model()
 
-    def plan(self) -> None:
+    def schedule_model(self) -> None:
         """Set the timer to the model's next event."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         at = self.model.next_event()
         if at is not None:
-            self.timer = self.loop.call_at(at, self.run_model)
+            self.timer = self.loop.call_at(at, self.advance_model)
 
-    def hand_out(self, outputs: list[engine_lib.Output]) -> None:
+    def queue_outputs(self, outputs: list[engine_lib.Output]) -> None:
         """Put chunks where their streams wait."""
         for output in outputs:
             queue = self.queues.get(output.job.key)
@@ -323,10 +325,10 @@
 class PlainHandler(FakeHandler):
     """Answers any call of a plain service."""
 
-    async def answer(self):
+    async def echo(self):
         """Count the call and echo it."""
         key = self.request.headers.get("Idempotency-Key", self.request.path)
-        self.endpoint.count_run(key)
+        self.endpoint.count_start(key)
         if self.endpoint.plain_s:
             await asyncio.sleep(self.endpoint.plain_s)
         self.send_value(
@@ -339,4 +341,4 @@
             }
         )
 
-    get = post = put = delete = patch = answer
+    get = post = put = delete = patch = echo
--- a/src/_coltsfootroad/fakes/launching.py
+++ b/src/_coltsfootroad/fakes/launching.py
@@ -16,11 +16,13 @@
 @contextlib.contextmanager
 def blocked_signals() -> Iterator[None]:
     """Block, in this thread, the signals that programs handle."""
-    before = signal.pthread_sigmask(signal.SIG_BLOCK, startsignals.HANDLED)
+    previous_mask = signal.pthread_sigmask(
+        signal.SIG_BLOCK, startsignals.HANDLED
+    )
     try:
         yield
     finally:
-        signal.pthread_sigmask(signal.SIG_SETMASK, before)
+        signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
 
 
 def start(command: list[str], **options) -> subprocess.Popen:
--- a/src/_coltsfootroad/fakes/ports.py
+++ b/src/_coltsfootroad/fakes/ports.py
@@ -8,16 +8,16 @@
 # Below the range that the system hands out by itself on Linux (32768 and
 # up): a port from there can be taken by any connection in the time between
 # its choice and its use, and a caller then talks to a stranger.
-LOWEST = 10_000
-HIGHEST = 32_000
-TRIES = 1_000
+MIN_PORT = 10_000
+MAX_PORT = 32_000
+MAX_TRIES = 1_000
 # Part of the range after which ports are handed out again.
-REUSE_SHARE = 0.9
+MAX_USED_SHARE = 0.9
 # Ports of programs that are set up and may not listen yet.
-HANDED_OUT: set[int] = set()
+RETURNED_PORTS: set[int] = set()
 
 
-def own_host() -> str:
+def process_host() -> str:
     """Return a loopback address that this process alone hands out.
 
     A program that is down for a moment leaves its port to whoever looks for
@@ -33,21 +33,21 @@
     Raises:
         OSError: None was found.
     """
-    draws = random.SystemRandom()
-    if len(HANDED_OUT) >= REUSE_SHARE * (HIGHEST - LOWEST):
-        HANDED_OUT.clear()
-    for _ in range(TRIES):
-        port = draws.randrange(LOWEST, HIGHEST)
-        if port in HANDED_OUT:
+    rng = random.SystemRandom()
+    if len(RETURNED_PORTS) >= MAX_USED_SHARE * (MAX_PORT - MIN_PORT):
+        RETURNED_PORTS.clear()
+    for _ in range(MAX_TRIES):
+        port = rng.randrange(MIN_PORT, MAX_PORT)
+        if port in RETURNED_PORTS:
             continue
         with socket.socket() as probe:
             try:
                 probe.bind((host, port))
             except OSError:
                 continue
-            HANDED_OUT.add(port)
+            RETURNED_PORTS.add(port)
             return port
-    raise OSError(f"no free port between {LOWEST} and {HIGHEST}")
+    raise OSError(f"no free port between {MIN_PORT} and {MAX_PORT}")
 
 
 def free_ports(count: int, host: str = HOST) -> list[int]:
--- a/src/_coltsfootroad/replay/measure.py
+++ b/src/_coltsfootroad/replay/measure.py
@@ -8,7 +8,10 @@
 from _coltsfootroad.replay import simcallers
 from _coltsfootroad.replay import world as world_lib
 
-CLASSES = (*(name for name, _ in lengths.REPORT_CLASSES), lengths.LONGEST_CLASS)
+CLASS_NAMES = (
+    *(name for name, _ in lengths.REPORT_CLASSES),
+    lengths.LONGEST_CLASS,
+)
 # Requests above this length are the long ones that the slowdown is about.
 LONG_TOKENS = lengths.REPORT_CLASSES[1][1]
 DIGITS = 4
@@ -46,7 +49,7 @@
     ends: dict[str, str] = attrs.Factory(dict)
     rans: dict[str, str] = attrs.Factory(dict)
 
-    def shown(self) -> dict:
+    def to_document(self) -> dict:
         """Return what the command prints."""
         document = attrs.asdict(self)
         del document["ends"]
@@ -59,7 +62,7 @@
     return round(float(numpy.percentile(values, percent)), DIGITS)
 
 
-def ttfts(world: world_lib.World) -> dict[str, float]:
+def first_token_times(world: world_lib.World) -> dict[str, float]:
     """Return the first-token time of each request that has one."""
     return {
         name: record.first_token_s
@@ -68,33 +71,39 @@
     }
 
 
-def by_class(world: world_lib.World, percent: float) -> dict[str, float]:
+def percentile_by_class(
+    world: world_lib.World, percent: float
+) -> dict[str, float]:
     """Return a percentile of first-token times per length class."""
-    found: dict[str, list[float]] = {}
-    for name, seconds in ttfts(world).items():
+    times_by_class: dict[str, list[float]] = {}
+    for name, seconds in first_token_times(world).items():
         tokens = world.callers.records[name].request.prompt_tokens
-        found.setdefault(lengths.report_class(tokens), []).append(seconds)
+        times_by_class.setdefault(lengths.report_class(tokens), []).append(
+            seconds
+        )
     return {
-        name: percentile(found[name], percent)
-        for name in CLASSES
-        if name in found
+        name: percentile(times_by_class[name], percent)
+        for name in CLASS_NAMES
+        if name in times_by_class
     }
 
 
-def slowdown(world: world_lib.World, alone: world_lib.World) -> float | None:
+def slowdown(
+    world: world_lib.World, without_long: world_lib.World
+) -> float | None:
     """Return the 95th percentile of the slowdown of short requests."""
-    base = ttfts(alone)
+    baseline = first_token_times(without_long)
     short = lengths.REPORT_CLASSES[0][1]
     ratios = [
-        seconds / base[name]
-        for name, seconds in ttfts(world).items()
-        if name in base
+        seconds / baseline[name]
+        for name, seconds in first_token_times(world).items()
+        if name in baseline
         and world.callers.records[name].request.prompt_tokens <= short
     ]
     return percentile(ratios, 95) if ratios else None
 
 
-def end_of(record: simcallers.Record) -> str:
+def end_code(record: simcallers.RequestRecord) -> str:
     """Return how a request ended, in one word."""
     if record.finished:
         return "finished"
@@ -103,38 +112,42 @@
     return "cut_off" if record.cut_off else "never"
 
 
-def is_refused(record: simcallers.Record) -> bool:
+def is_refused(record: simcallers.RequestRecord) -> bool:
     """Return whether a request was refused and did not run."""
     failure = record.failure
     return failure is not None and failure.ran is errors.Ran.NO
 
 
 def make_report(
-    policy: str, world: world_lib.World, alone: world_lib.World | None
+    policy: str, world: world_lib.World, without_long: world_lib.World | None
 ) -> Report:
     """Return the measures of a finished replay."""
     records = world.callers.records.values()
     finished = sum(1 for r in records if r.finished)
     refused = sum(1 for r in records if is_refused(r))
-    keyed = [r.request for r in records if r.request.non_idempotent]
-    names = {r.idempotency_key or r.request_id for r in keyed}
+    non_idempotent_requests = [
+        r.request for r in records if r.request.non_idempotent
+    ]
+    keys = {r.idempotency_key or r.request_id for r in non_idempotent_requests}
     return Report(
         policy=policy,
         requests=len(world.callers.records),
         finished=finished,
         refused_not_run=refused,
         failed=len(world.callers.records) - finished - refused,
-        ttft_p50_s=by_class(world, 50),
-        ttft_p95_s=by_class(world, 95),
-        short_slowdown_p95=slowdown(world, alone) if alone else None,
+        ttft_p50_s=percentile_by_class(world, 50),
+        ttft_p95_s=percentile_by_class(world, 95),
+        short_slowdown_p95=slowdown(world, without_long)
+        if without_long
+        else None,
         retries=sum(
             e.core.counters.retries for e in world.entries.by_name.values()
         ),
         runs_over_one=sum(
-            1 for n in names if world.endpoints.runs.get(n, 0) > 1
+            1 for key in keys if world.endpoints.runs.get(key, 0) > 1
         ),
         kv_left=world.endpoints.kv_held(),
-        ends={name: end_of(r) for name, r in world.callers.records.items()},
+        ends={name: end_code(r) for name, r in world.callers.records.items()},
         rans={
             name: r.failure.ran.value
             for name, r in world.callers.records.items()
--- a/src/_coltsfootroad/replay/network.py
+++ b/src/_coltsfootroad/replay/network.py
@@ -30,7 +30,7 @@
     extra_delay_s: float = 0.0
     now: float = 0.0
     queue: list = attrs.Factory(list)
-    number: int = 0
+    event_count: int = 0
     cuts: set[tuple[str, str]] = attrs.Factory(set)
     after_event: Callable | None = None
 
@@ -38,8 +38,8 @@
 
     def at(self, when: float, call: Callable, *arguments) -> None:
         """Plan a call."""
-        self.number += 1
-        heapq.heappush(self.queue, (when, self.number, call, arguments))
+        self.event_count += 1
+        heapq.heappush(self.queue, (when, self.event_count, call, arguments))
 
     def run_until(self, end: float) -> None:
         """Run all calls up to a time."""
--- a/src/_coltsfootroad/replay/player.py
+++ b/src/_coltsfootroad/replay/player.py
@@ -24,13 +24,13 @@
 # Time after the last arrival for everything to end and be freed.
 COOL_DOWN_S = 30.0
 SEED = 7
-BLOCK_LENGTH = 1_024
+BLOCK_TOKENS = 1_024
 POLICIES = (
     *(policy.name for policy in policies.BASELINES),
     *(policy.name for policy in policies.OURS),
     policies.Oracle.name,
 )
-BY_NAME = {p.name: p for p in (*policies.BASELINES, *policies.OURS)}
+POLICIES_BY_NAME = {p.name: p for p in (*policies.BASELINES, *policies.OURS)}
 
 
 def policy_factory(name: str, world: world_lib.World):
@@ -40,7 +40,7 @@
         endpoint = world.endpoints.by_name[view.name]
         model = endpoint.model
         view.backlog = [
-            float(t) for t in model.waiting_tokens(world.network.now)
+            float(t) for t in model.pending_prefill_tokens(world.network.now)
         ]
         view.backlog_at = world.network.now
         view.kv_used = model.kv_used
@@ -56,7 +56,7 @@
             return policies.PlainService()
         if name == policies.Oracle.name:
             return policies.Oracle(refresh)
-        return BY_NAME[name]()
+        return POLICIES_BY_NAME[name]()
 
     return make
 
@@ -140,11 +140,13 @@
         """Send one request of the trace."""
         services = self.world.control.state.configs.config.services
         kind = services[line.service].kind
-        blocks = tuple(
+        shared_blocks = tuple(
             f"{line.shared_prefix}/{n}" for n in range(line.prefix_blocks)
         )
-        whole = max(1, line.prompt_tokens // BLOCK_LENGTH)
-        own = tuple(f"{line.id}/{n}" for n in range(whole - len(blocks)))
+        block_count = max(1, line.prompt_tokens // BLOCK_TOKENS)
+        own_blocks = tuple(
+            f"{line.id}/{n}" for n in range(block_count - len(shared_blocks))
+        )
         request = request_lib.Request(
             request_id=line.id,
             workspace=line.workspace,
@@ -156,9 +158,9 @@
             kind=kind,
             non_idempotent=line.non_idempotent,
             idempotency_key=line.key,
-            key_time=simcontrol.UNIX_START,
+            key_time=simcontrol.START_UNIX_S,
             body_hash=line.key,
-            prefix_hashes=blocks + own if blocks else (),
+            prefix_hashes=shared_blocks + own_blocks if shared_blocks else (),
         )
         self.world.callers.submit(request, line.entry)
 
@@ -238,15 +240,17 @@
 def replay(trace: trace_lib.Trace, policy: str) -> measure.Report:
     """Return the measures of a policy on a trace."""
     world = Player(trace, policy).play()
-    alone = None
+    without_long = None
     long = any(r.prompt_tokens > measure.LONG_TOKENS for r in trace.requests)
     if long:
         short = trace.without_longer_than(measure.LONG_TOKENS)
-        alone = Player(short, policy).play()
-    return measure.make_report(policy, world, alone)
+        without_long = Player(short, policy).play()
+    return measure.make_report(policy, world, without_long)
 
 
-def unmet(trace: trace_lib.Trace, reports: list[measure.Report]) -> list[str]:
+def unmet_outcomes(
+    trace: trace_lib.Trace, reports: list[measure.Report]
+) -> list[str]:
     """Return a sentence for each stated outcome that did not come out."""
     found = []
     for line in trace.outcomes:
--- a/src/_coltsfootroad/replay/processes.py
+++ b/src/_coltsfootroad/replay/processes.py
@@ -26,7 +26,7 @@
     alive: bool = True
     state: registry.EndpointState = registry.EndpointState.SERVING
     connections: set = attrs.Factory(set)
-    woken_at: float | None = None
+    next_tick_at: float | None = None
 
 
 @attrs.define(eq=False)
@@ -38,11 +38,11 @@
     zone: str
     alive: bool = True
     frozen_until: float = 0.0
-    woken_at: float | None = None
-    unsettled: int = 0
+    next_tick_at: float | None = None
+    unsettled_claims: int = 0
 
 
-class EntryHost(abc.ABC):
+class EntriesInterface(abc.ABC):
     """What callers and endpoints need of the entries.
 
     Attributes:
@@ -62,5 +62,5 @@
         """Send a call to an entry's core over the network."""
 
     @abc.abstractmethod
-    def some(self) -> list[SimEntry]:
+    def sample_entries(self) -> list[SimEntry]:
         """Return the entries that an endpoint talks to this time."""
--- a/src/_coltsfootroad/replay/simcallers.py
+++ b/src/_coltsfootroad/replay/simcallers.py
@@ -10,7 +10,7 @@
 
 
 @attrs.define
-class Record:
+class RequestRecord:
     """What became of one request, as its caller saw it."""
 
     request: request_lib.Request
@@ -26,7 +26,7 @@
 
 
 @attrs.define(eq=False)
-class Callers:
+class SimCallers:
     """Sends requests to entries and records what comes back.
 
     Attributes:
@@ -36,21 +36,21 @@
 
     network: network_lib.Network
     one_way_s: float = 0.001
-    records: dict[str, Record] = attrs.Factory(dict)
-    entries: processes.EntryHost = attrs.field(init=False)
+    records: dict[str, RequestRecord] = attrs.Factory(dict)
+    entries: processes.EntriesInterface = attrs.field(init=False)
 
     def submit(
         self, request: request_lib.Request, entry_name: str = ""
     ) -> None:
         """Send a caller's request to an entry."""
         entry = self.entries.by_name.get(entry_name) or self.pick_entry()
-        record = Record(request, entry.name if entry else "")
+        record = RequestRecord(request, entry.name if entry else "")
         self.records[request.request_id] = record
         if entry is None or not entry.alive:
             record.cut_off = True
             return
-        arrive = self.network.now + self.one_way_s
-        self.network.at(arrive, self.arrive, entry, entry.core, request)
+        arrives_at = self.network.now + self.one_way_s
+        self.network.at(arrives_at, self.deliver, entry, entry.core, request)
 
     def pick_entry(self) -> processes.SimEntry | None:
         """Return an entry as an address answer would name it."""
@@ -64,7 +64,7 @@
         ]
         return self.network.rng.choice(alive) if alive else None
 
-    def arrive(
+    def deliver(
         self, entry: processes.SimEntry, core, request: request_lib.Request
     ) -> None:
         """Give a request to an entry."""
@@ -74,7 +74,7 @@
             return
         if now < entry.frozen_until:
             self.network.at(
-                entry.frozen_until, self.arrive, entry, core, request
+                entry.frozen_until, self.deliver, entry, core, request
             )
             return
         shift = now - request.arrived_at
@@ -83,7 +83,7 @@
         )
         self.entries.run_core(entry, core.submit, request)
 
-    def take(
+    def record_action(
         self, action: actions.Emit | actions.Finish | actions.Fail
     ) -> None:
         """Record what a caller is told."""
--- a/src/_coltsfootroad/replay/simcontrol.py
+++ b/src/_coltsfootroad/replay/simcontrol.py
@@ -7,7 +7,7 @@
 from _coltsfootroad.control import state as state_lib
 from _coltsfootroad.replay import network as network_lib
 
-UNIX_START = 1_800_000_000.0
+START_UNIX_S = 1_800_000_000.0
 
 
 @attrs.define(eq=False)
@@ -21,17 +21,17 @@
     epoch: int = 0
 
     def __attrs_post_init__(self):
-        self.start_hub()
+        self.start_coordinator()
 
-    def start_hub(self) -> None:
+    def start_coordinator(self) -> None:
         """Start a leader's soft state anew."""
         self.epoch += 1
         name = f"epoch-{self.epoch}"
         self.hub = hub_lib.Hub(name, self.state, self.network.now)
 
-    def unix(self) -> float:
+    def unix_s(self) -> float:
         """Return unix seconds."""
-        return UNIX_START + self.network.now
+        return START_UNIX_S + self.network.now
 
     def patch(
         self, patch_id: str, base_version: int, patch: bytes
@@ -40,7 +40,7 @@
         command = messages.PatchConfig(
             patch_id=patch_id, base_version=base_version, patch=patch
         )
-        return self.state.apply(command, self.unix())
+        return self.state.apply(command, self.unix_s())
 
     def answer(self, message: object) -> object:
         """Return the leader's answer to an entry."""
@@ -51,7 +51,7 @@
                 return self.hub.groups.reserve(message, self.network.now)
             case messages.GroupRelease():
                 return self.hub.groups.release(message.group)
-        return self.state.apply(message, self.unix())
+        return self.state.apply(message, self.unix_s())
 
     def stop(self) -> None:
         """Stop; what was acknowledged is on the disk."""
@@ -62,4 +62,4 @@
         if not self.is_up:
             self.state = state_lib.load(state_lib.save(self.state))
             self.is_up = True
-            self.start_hub()
+            self.start_coordinator()
--- a/src/_coltsfootroad/replay/simendpoints.py
+++ b/src/_coltsfootroad/replay/simendpoints.py
@@ -11,13 +11,13 @@
 from _coltsfootroad.replay import network as network_lib
 from _coltsfootroad.replay import processes
 
-ANNOUNCE_EVERY_S = 1.0
-REPORT_EVERY_S = 1.0
+ANNOUNCE_INTERVAL_S = 1.0
+REPORT_INTERVAL_S = 1.0
 PLAIN_SERVICE_S = 0.05
 
 
 @attrs.define(eq=False)
-class Endpoints:
+class SimEndpoints:
     """Runs the endpoints, and carries work to them and answers back.
 
     Attributes:
@@ -31,13 +31,15 @@
     """
 
     network: network_lib.Network
-    report_every_s: float = REPORT_EVERY_S
+    report_every_s: float = REPORT_INTERVAL_S
     plain_s: float = PLAIN_SERVICE_S
     by_name: dict[str, processes.SimEndpoint] = attrs.Factory(dict)
-    book: engine_lib.GroupBook = attrs.Factory(engine_lib.GroupBook)
+    group_prefills: engine_lib.GroupPrefills = attrs.Factory(
+        engine_lib.GroupPrefills
+    )
     runs: dict[str, int] = attrs.Factory(dict)
     dispatches: list[tuple[float, str, str]] = attrs.Factory(list)
-    entries: processes.EntryHost = attrs.field(init=False)
+    entries: processes.EntriesInterface = attrs.field(init=False)
 
     # --- processes -------------------------------------------------------
 
@@ -45,7 +47,7 @@
         self, name: str, service: str, speed: engine_lib.EngineSpeed
     ) -> None:
         """Add an engine, which announces itself."""
-        model = engine_lib.EngineModel(name, speed, self.book)
+        model = engine_lib.EngineModel(name, speed, self.group_prefills)
         kind = servicekind.ServiceKind.ENGINE
         self.add(processes.SimEndpoint(name, service, kind, model))
 
@@ -58,11 +60,11 @@
     def add(self, endpoint: processes.SimEndpoint) -> None:
         """Add an endpoint and its timers."""
         self.by_name[endpoint.name] = endpoint
-        self.announce_often(endpoint, endpoint.incarnation)
+        self.announce_periodically(endpoint, endpoint.incarnation)
         offset = self.network.rng.uniform(0, self.report_every_s)
         self.network.at(
             self.network.now + offset,
-            self.report_often,
+            self.report_periodically,
             endpoint,
             endpoint.incarnation,
         )
@@ -79,14 +81,16 @@
                 self.fail_attempt(endpoint, entry, key, faults.Fault.LOST)
         endpoint.connections.clear()
         for key in list(endpoint.model.jobs):
-            self.book.forget(key)
+            self.group_prefills.drop_group(key)
 
     def start(self, name: str) -> None:
         """Start a killed endpoint with empty memory."""
         old = self.by_name[name]
         if old.alive:
             return
-        model = engine_lib.EngineModel(name, old.model.speed, self.book)
+        model = engine_lib.EngineModel(
+            name, old.model.speed, self.group_prefills
+        )
         model.incarnation = old.incarnation + 1
         self.add(
             processes.SimEndpoint(
@@ -115,7 +119,7 @@
 
     # --- what endpoints say ----------------------------------------------
 
-    def announce_often(
+    def announce_periodically(
         self, endpoint: processes.SimEndpoint, incarnation: int
     ) -> None:
         """Announce an endpoint to a few entries while it lives."""
@@ -123,8 +127,8 @@
             return
         self.announce(endpoint)
         self.network.at(
-            self.network.now + ANNOUNCE_EVERY_S,
-            self.announce_often,
+            self.network.now + ANNOUNCE_INTERVAL_S,
+            self.announce_periodically,
             endpoint,
             incarnation,
         )
@@ -143,22 +147,22 @@
             kv_tokens=endpoint.model.speed.kv_tokens,
             max_running=endpoint.model.speed.max_running,
         )
-        for entry in self.entries.some():
+        for entry in self.entries.sample_entries():
             self.entries.deliver(
                 endpoint.name, entry, entry.core.on_announcement, announcement
             )
 
-    def report_often(
+    def report_periodically(
         self, endpoint: processes.SimEndpoint, incarnation: int
     ) -> None:
         """Report load and cache events while an endpoint lives."""
         if not endpoint.alive or endpoint.incarnation != incarnation:
             return
-        self.run_model(endpoint)
+        self.advance_model(endpoint)
         endpoint.seq += 1
         report = endpoint.model.report(endpoint.seq, self.network.now)
         events, endpoint.model.cache_events = endpoint.model.cache_events, []
-        for entry in self.entries.some():
+        for entry in self.entries.sample_entries():
             self.entries.deliver(
                 endpoint.name, entry, entry.core.on_load, report
             )
@@ -169,7 +173,7 @@
                 )
         self.network.at(
             self.network.now + self.report_every_s,
-            self.report_often,
+            self.report_periodically,
             endpoint,
             incarnation,
         )
@@ -233,7 +237,7 @@
         """Give one part to an engine."""
         request = action.request
         key = (request.request_id, action.attempt)
-        self.count_run(request)
+        self.count_start(request)
         single = len(action.parts) == 1
         tokens = request.prompt_tokens if single else part.prompt_tokens
         job = engine_lib.Job(
@@ -253,9 +257,9 @@
         endpoint.connections.add((entry.name, core.owner, key))
         outputs = endpoint.model.submit(job, self.network.now)
         self.send_outputs(endpoint, outputs)
-        self.wake_model(endpoint)
+        self.schedule_model(endpoint)
 
-    def count_run(self, request: request_lib.Request) -> None:
+    def count_start(self, request: request_lib.Request) -> None:
         """Count that work began at an endpoint."""
         for name in (request.request_id, request.idempotency_key):
             if name:
@@ -266,7 +270,7 @@
         request = action.request
         core = entry.core
         key = (request.request_id, action.attempt)
-        self.count_run(request)
+        self.count_start(request)
         endpoint.connections.add((entry.name, core.owner, key))
         body = f"done {request.body_hash}".encode()
         answer = request_lib.Answer(status=200, body=body)
@@ -297,7 +301,7 @@
             outputs = endpoint.model.cancel(key, self.network.now)
             self.send_outputs(endpoint, outputs)
             endpoint.connections.discard((entry.name, core.owner, key))
-            self.wake_model(endpoint)
+            self.schedule_model(endpoint)
             self.entries.deliver(
                 endpoint.name,
                 entry,
@@ -324,25 +328,25 @@
 
     # --- engines ---------------------------------------------------------
 
-    def wake_model(self, endpoint: processes.SimEndpoint) -> None:
+    def schedule_model(self, endpoint: processes.SimEndpoint) -> None:
         """Plan the next event of an engine."""
         at = endpoint.model.next_event()
         if at is None or not endpoint.alive:
             return
-        if endpoint.woken_at is not None and endpoint.woken_at <= at:
+        if endpoint.next_tick_at is not None and endpoint.next_tick_at <= at:
             return
-        endpoint.woken_at = at
-        self.network.at(at, self.tick_model, endpoint, endpoint.model, at)
+        endpoint.next_tick_at = at
+        self.network.at(at, self.run_model_tick, endpoint, endpoint.model, at)
 
-    def tick_model(
+    def run_model_tick(
         self, endpoint: processes.SimEndpoint, model, at: float
     ) -> None:
         """Run an engine up to now."""
-        if endpoint.model is model and endpoint.woken_at == at:
-            endpoint.woken_at = None
-            self.run_model(endpoint)
+        if endpoint.model is model and endpoint.next_tick_at == at:
+            endpoint.next_tick_at = None
+            self.advance_model(endpoint)
 
-    def run_model(self, endpoint: processes.SimEndpoint) -> None:
+    def advance_model(self, endpoint: processes.SimEndpoint) -> None:
         """Run an engine up to now and send what it generated."""
         if not endpoint.alive:
             return
@@ -350,8 +354,8 @@
         # A group that completed here starts at its leader elsewhere.
         for other in self.by_name.values():
             if other is not endpoint and other.model.timers:
-                self.wake_model(other)
-        self.wake_model(endpoint)
+                self.schedule_model(other)
+        self.schedule_model(endpoint)
 
     def send_outputs(
         self,
--- a/src/_coltsfootroad/replay/simentries.py
+++ b/src/_coltsfootroad/replay/simentries.py
@@ -17,18 +17,18 @@
 from _coltsfootroad.replay import simcontrol
 from _coltsfootroad.replay import simendpoints
 
-SYNC_EVERY_S = 0.5
-SETTLE_RETRY_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
+SETTLE_RETRY_DELAY_S = 0.5
 # Shortest time between two wake-ups of a core.
-MIN_WAKE_S = 0.001
+MIN_TICK_DELAY_S = 0.001
 # How long entries collect notes of their dispatches for one message.
-NOTE_EVERY_S = 0.005
+MAX_NOTE_DELAY_S = 0.005
 # Endpoints announce themselves to this many entries.
-ANNOUNCE_TO = 2
+ANNOUNCED_ENTRIES = 2
 
 
 @attrs.define(eq=False)
-class Entries(processes.EntryHost):
+class SimEntries(processes.EntriesInterface):
     """Runs the cores: time, messages, and the actions that they ask for.
 
     Attributes:
@@ -40,8 +40,8 @@
 
     network: network_lib.Network
     control: simcontrol.SimControl
-    endpoints: simendpoints.Endpoints
-    callers: simcallers.Callers
+    endpoints: simendpoints.SimEndpoints
+    callers: simcallers.SimCallers
     by_name: dict[str, processes.SimEntry] = attrs.Factory(dict)
     make_policy: Callable | None = None
     heartbeats: int = 0
@@ -53,8 +53,8 @@
         core = self.new_core(name, processes.FIRST_INCARNATION)
         entry = processes.SimEntry(name, core, zone)
         self.by_name[name] = entry
-        self.sync_often(entry, core)
-        self.wake(entry, core)
+        self.send_heartbeats(entry, core)
+        self.schedule_tick(entry, core)
 
     def new_core(self, name: str, incarnation: int) -> entry_lib.EntryCore:
         """Return the core of a process that has just started."""
@@ -77,10 +77,10 @@
         entry.core = self.new_core(name, entry.core.incarnation + 1)
         entry.alive = True
         entry.frozen_until = 0.0
-        entry.woken_at = None
-        entry.unsettled = 0
-        self.sync_often(entry, entry.core)
-        self.wake(entry, entry.core)
+        entry.next_tick_at = None
+        entry.unsettled_claims = 0
+        self.send_heartbeats(entry, entry.core)
+        self.schedule_tick(entry, entry.core)
 
     def freeze(self, name: str, seconds: float) -> None:
         """Freeze an entry process for a while."""
@@ -106,45 +106,49 @@
 
     def run_core(self, entry, method, *arguments) -> None:
         """Call a core and carry out its actions."""
-        gone = not entry.alive or method.__self__ is not entry.core
-        if gone or self.network.now < entry.frozen_until:
+        is_stale = not entry.alive or method.__self__ is not entry.core
+        if is_stale or self.network.now < entry.frozen_until:
             return
         core = entry.core
         for action in method(*arguments, self.network.now):
-            self.carry_out(entry, action)
+            self.execute(entry, action)
         if core.syncing.wants_sync:
-            self.sync(entry, core)
-        self.wake(entry, core)
+            self.send_heartbeat(entry, core)
+        self.schedule_tick(entry, core)
 
-    def when_awake(self, entry, call: Callable, *arguments) -> None:
+    def call_when_thawed(self, entry, call: Callable, *arguments) -> None:
         """Call now, or when a frozen process goes on."""
         if self.network.now < entry.frozen_until:
             self.network.at(
-                entry.frozen_until, self.when_awake, entry, call, *arguments
+                entry.frozen_until,
+                self.call_when_thawed,
+                entry,
+                call,
+                *arguments,
             )
         else:
             call(*arguments)
 
-    def wake(self, entry: processes.SimEntry, core) -> None:
+    def schedule_tick(self, entry: processes.SimEntry, core) -> None:
         """Plan the next tick of a core."""
         now = self.network.now
-        at = max(core.next_wake(now), now + MIN_WAKE_S)
-        if entry.woken_at is not None and entry.woken_at <= at:
+        at = max(core.next_wake(now), now + MIN_TICK_DELAY_S)
+        if entry.next_tick_at is not None and entry.next_tick_at <= at:
             return
-        entry.woken_at = at
+        entry.next_tick_at = at
         self.network.at(at, self.tick, entry, core, at)
 
     def tick(self, entry: processes.SimEntry, core, at: float) -> None:
         """Run a core's timers."""
         if entry.core is not core or not entry.alive:
             return
-        if entry.woken_at != at:
+        if entry.next_tick_at != at:
             return
-        entry.woken_at = None
-        thaw = entry.frozen_until
-        if self.network.now < thaw:
-            entry.woken_at = thaw
-            self.network.at(thaw, self.tick, entry, core, thaw)
+        entry.next_tick_at = None
+        thaw_at = entry.frozen_until
+        if self.network.now < thaw_at:
+            entry.next_tick_at = thaw_at
+            self.network.at(thaw_at, self.tick, entry, core, thaw_at)
             return
         self.run_core(entry, core.tick)
 
@@ -156,16 +160,20 @@
 
         def arrive() -> None:
             if entry.core is core and entry.alive:
-                self.when_awake(entry, self.run_core, entry, method, *arguments)
+                self.call_when_thawed(
+                    entry, self.run_core, entry, method, *arguments
+                )
 
         self.network.send(source, entry.name, arrive)
 
-    def some(self) -> list[processes.SimEntry]:
+    def sample_entries(self) -> list[processes.SimEntry]:
         """Return the entries that an endpoint talks to this time."""
         alive = [entry for entry in self.by_name.values() if entry.alive]
-        return self.network.rng.sample(alive, min(ANNOUNCE_TO, len(alive)))
+        return self.network.rng.sample(
+            alive, min(ANNOUNCED_ENTRIES, len(alive))
+        )
 
-    def ask_control(
+    def call_control(
         self, entry: processes.SimEntry, message: object, reply: Callable
     ) -> None:
         """Send a call to the leader; `reply` may never be called."""
@@ -173,7 +181,7 @@
 
         def deliver(answer: object) -> None:
             if entry.core is core and entry.alive:
-                self.when_awake(entry, reply, answer)
+                self.call_when_thawed(entry, reply, answer)
 
         def arrive() -> None:
             if self.control.is_up:
@@ -182,31 +190,35 @@
 
         self.network.send(entry.name, "control", arrive)
 
-    def sync_often(self, entry: processes.SimEntry, core) -> None:
+    def send_heartbeats(self, entry: processes.SimEntry, core) -> None:
         """Send heartbeats while the process lives."""
         if entry.core is not core or not entry.alive:
             return
         now = self.network.now
         if now < entry.frozen_until:
-            self.network.at(entry.frozen_until, self.sync_often, entry, core)
+            self.network.at(
+                entry.frozen_until, self.send_heartbeats, entry, core
+            )
             return
-        self.sync(entry, core)
-        self.network.at(now + SYNC_EVERY_S, self.sync_often, entry, core)
+        self.send_heartbeat(entry, core)
+        self.network.at(
+            now + HEARTBEAT_INTERVAL_S, self.send_heartbeats, entry, core
+        )
 
-    def sync(self, entry: processes.SimEntry, core) -> None:
+    def send_heartbeat(self, entry: processes.SimEntry, core) -> None:
         """Send one heartbeat."""
         self.heartbeats += 1
         asked_at = self.network.now
-        request = core.sync_request(member_of(entry), asked_at)
+        request = core.sync_request(make_member(entry), asked_at)
 
         def reply(answer: messages.SyncReply) -> None:
             self.run_core(entry, core.on_sync, request, answer, asked_at)
 
-        self.ask_control(entry, request, reply)
+        self.call_control(entry, request, reply)
 
     # --- actions ---------------------------------------------------------
 
-    def carry_out(
+    def execute(
         self, entry: processes.SimEntry, action: actions.Action
     ) -> None:
         """Do what a core asks for."""
@@ -215,34 +227,34 @@
             case actions.Dispatch():
                 self.endpoints.dispatch(entry, action)
             case actions.Emit() | actions.Finish() | actions.Fail():
-                self.callers.take(action)
+                self.callers.record_action(action)
             case actions.DispatchNote():
-                self.share_note(entry, action)
+                self.broadcast_note(entry, action)
             case actions.Cancel():
                 self.endpoints.cancel(entry, action)
             case actions.Reprioritise():
                 self.endpoints.reprioritise(entry, action)
             case actions.TakeClaim():
-                self.take_claim(entry, core, action)
+                self.acquire_claim(entry, core, action)
             case actions.SettleClaim():
-                entry.unsettled += 1
+                entry.unsettled_claims += 1
                 self.settle(entry, core, action)
             case actions.ReserveGroup():
                 message = calls.reserve_call(action)
-                self.ask_control(
+                self.call_control(
                     entry,
                     message,
                     lambda a: self.run_core(entry, core.on_group, a),
                 )
             case actions.ReleaseGroup():
                 message = calls.release_call(action)
-                self.ask_control(entry, message, lambda _: None)
+                self.call_control(entry, message, lambda _: None)
 
-    def share_note(self, entry: processes.SimEntry, note) -> None:
+    def broadcast_note(self, entry: processes.SimEntry, note) -> None:
         """Tell the other entries of a dispatch, batched a little."""
         for other in self.by_name.values():
             if other is not entry and other.alive:
-                wait_s = self.network.rng.uniform(0, NOTE_EVERY_S)
+                wait_s = self.network.rng.uniform(0, MAX_NOTE_DELAY_S)
                 self.network.at(
                     self.network.now + wait_s,
                     self.deliver,
@@ -252,13 +264,13 @@
                     note,
                 )
 
-    def take_claim(
+    def acquire_claim(
         self, entry: processes.SimEntry, core, action: actions.TakeClaim
     ) -> None:
         """Ask for a claim."""
         request_id = action.request.request_id
         message = calls.claim_call(action, self.network.now)
-        self.ask_control(
+        self.call_control(
             entry,
             message,
             lambda a: self.run_core(entry, core.on_claim, request_id, a),
@@ -271,22 +283,22 @@
         if entry.core is not core or not entry.alive:
             return
         message = calls.settle_call(action)
-        heard = []
+        acknowledged = []
 
         def reply(_: object) -> None:
-            if not heard:
-                heard.append(True)
-                entry.unsettled -= 1
+            if not acknowledged:
+                acknowledged.append(True)
+                entry.unsettled_claims -= 1
 
-        def again() -> None:
-            if not heard:
+        def retry() -> None:
+            if not acknowledged:
                 self.settle(entry, core, action)
 
-        self.ask_control(entry, message, reply)
-        self.network.at(self.network.now + SETTLE_RETRY_S, again)
+        self.call_control(entry, message, reply)
+        self.network.at(self.network.now + SETTLE_RETRY_DELAY_S, retry)
 
 
-def member_of(entry: processes.SimEntry) -> addresses.Member:
+def make_member(entry: processes.SimEntry) -> addresses.Member:
     """Return what an entry tells of itself."""
     return addresses.Member(
         entry=entry.name,
--- a/src/_coltsfootroad/replay/trace.py
+++ b/src/_coltsfootroad/replay/trace.py
@@ -101,7 +101,7 @@
     policies: tuple[str, ...] = ()
 
 
-LINES = {
+LINE_KINDS = {
     "fleet": FleetLine,
     "request": RequestLine,
     "fault": FaultLine,
@@ -150,11 +150,11 @@
     if not isinstance(document, dict):
         return Error("is not a JSON object")
     kind = document.pop("kind", None)
-    if kind not in LINES:
-        names = ", ".join(LINES)
+    if kind not in LINE_KINDS:
+        names = ", ".join(LINE_KINDS)
         return Error(f"kind is {kind!r}, must be one of {names}")
     try:
-        return Ok(documents.CONVERTER.structure(document, LINES[kind]))
+        return Ok(documents.CONVERTER.structure(document, LINE_KINDS[kind]))
     except Exception as error:  # noqa: BLE001
         # cattrs raises groups of whatever the hooks raise.
         return Error(documents.explain(error, "$"))
@@ -176,22 +176,24 @@
                 trace.outcomes.append(line)
     ids = [request.id for request in trace.requests]
     if len(set(ids)) != len(ids):
-        twice = next(i for i in ids if ids.count(i) > 1)
-        return Error(f"trace {path}: request id {twice!r} occurs twice")
+        duplicate = next(i for i in ids if ids.count(i) > 1)
+        return Error(f"trace {path}: request id {duplicate!r} occurs twice")
     return Ok(trace)
 
 
 def write(path: pathlib.Path, trace: Trace) -> None:
     """Write a trace as JSON lines."""
-    kinds = {kind: name for name, kind in LINES.items()}
+    kinds = {kind: name for name, kind in LINE_KINDS.items()}
     lines = [trace.fleet, *trace.requests, *trace.faults, *trace.outcomes]
     with open(path, "w", encoding="utf-8") as file:
         for line in lines:
             document = documents.CONVERTER.unstructure(line)
             defaults = {f.name: f.default for f in attrs.fields(type(line))}
-            short = {
+            non_default = {
                 name: value
                 for name, value in document.items()
                 if defaults[name] != value
             }
-            file.write(json.dumps({"kind": kinds[type(line)]} | short) + "\n")
+            file.write(
+                json.dumps({"kind": kinds[type(line)]} | non_default) + "\n"
+            )
--- a/src/_coltsfootroad/replay/world.py
+++ b/src/_coltsfootroad/replay/world.py
@@ -22,16 +22,16 @@
 
     network: network_lib.Network
     control: simcontrol.SimControl
-    callers: simcallers.Callers
-    endpoints: simendpoints.Endpoints
-    entries: simentries.Entries
+    callers: simcallers.SimCallers
+    endpoints: simendpoints.SimEndpoints
+    entries: simentries.SimEntries
 
 
 def build(
     rng: random.Random,
     one_way_s: float = 0.001,
     client_one_way_s: float = 0.001,
-    report_every_s: float = simendpoints.REPORT_EVERY_S,
+    report_every_s: float = simendpoints.REPORT_INTERVAL_S,
     plain_s: float = simendpoints.PLAIN_SERVICE_S,
 ) -> World:
     """Return a fleet without entries and endpoints, its parts wired.
@@ -45,11 +45,11 @@
     """
     network = network_lib.Network(rng, one_way_s=one_way_s)
     control = simcontrol.SimControl(network)
-    callers = simcallers.Callers(network, one_way_s=client_one_way_s)
-    endpoints = simendpoints.Endpoints(
+    callers = simcallers.SimCallers(network, one_way_s=client_one_way_s)
+    endpoints = simendpoints.SimEndpoints(
         network, report_every_s=report_every_s, plain_s=plain_s
     )
-    entries = simentries.Entries(network, control, endpoints, callers)
+    entries = simentries.SimEntries(network, control, endpoints, callers)
     callers.entries = entries
     endpoints.entries = entries
     return World(
