--- a/src/_coltsfootroad/commands/__init__.py
+++ b/src/_coltsfootroad/commands/__init__.py
@@ -1,14 +1,15 @@
-"""Command lines; each module is one program."""
+"""Command line programs, one per module."""
 
 import sys
 
 from _coltsfootroad.shell import startsignals
 
-# Before anything else is imported.
+# Signal handlers are installed before any other import.
 startsignals.install(sys.argv)
 
 from _coltsfootroad.shell import clocks as clocks  # noqa: E402
 from _coltsfootroad.shell import early  # noqa: E402
 
-# Before the libraries are imported, which takes most of a program's start.
+# Listens before the libraries are imported, because these imports take most of
+# a program's start time.
 early.listen(sys.argv)
--- a/src/_coltsfootroad/commands/common.py
+++ b/src/_coltsfootroad/commands/common.py
@@ -1,4 +1,4 @@
-"""What all programs share: flags, settings, signals, exit codes."""
+"""Flags, settings, signals and exit codes that all programs share."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 LOG = logs.logger("main")
 
 SETTINGS = flags.DEFINE_string("settings", None, "Path of the settings file.")
-VERSION = flags.DEFINE_bool("version", False, "Show the version and stop.")
+VERSION = flags.DEFINE_bool("version", False, "Print the version and exit.")
 
 
 HELP_FLAGS = ("-h", "--help", "-help")
@@ -32,8 +32,7 @@
 def start(main: Callable[[list[str]], int], usage: str = "") -> None:
     """Parse the command line and run a program.
 
-    `usage` says what the program does; it is shown by `--help`, above the
-    flags.
+    `--help` prints `usage`, a description of the program, above the flags.
     """
     if usage and any(word in HELP_FLAGS for word in sys.argv[1:]):
         print(usage.strip())
@@ -46,7 +45,8 @@
             return EXIT_OK
         return main(arguments)
 
-    # What the imports made stays for good and need not be looked at again.
+    # Objects created by the imports live as long as the process, so the garbage
+    # collector does not need to scan them.
     gc.freeze()
     gc.enable()
     try:
@@ -68,7 +68,7 @@
 
 
 def parse_flags(arguments: list[str]) -> list[str]:
-    """Parse flags; a wrong one gets one line, not a traceback."""
+    """Parse flags; report an invalid flag in one line, without a traceback."""
     try:
         return flags.FLAGS(arguments)
     except flags.Error as error:
@@ -76,12 +76,12 @@
 
 
 def print_error(message: str) -> None:
-    """Write a message to standard error."""
+    """Print a message to standard error."""
     print(message, file=sys.stderr)
 
 
 def read_settings(kind: type) -> object:
-    """Return the settings, or end the program with what is wrong."""
+    """Return the settings, or exit with the error message."""
     if not SETTINGS.value:
         reject_usage("--settings is missing; see examples/ for a sample")
     loaded = settings_lib.load(SETTINGS.value, kind)
@@ -91,7 +91,7 @@
 
 
 def reject_usage(message: str) -> NoReturn:
-    """Write what is wrong and end, whatever signals arrive meanwhile."""
+    """Print a usage error and exit, ignoring signals that arrive meanwhile."""
     if commandline.is_server(sys.argv):
         startsignals.ignore()
     print_error(message)
@@ -99,9 +99,9 @@
 
 
 def run_loop(main) -> int:
-    """Run a program's coroutine function on one loop; return the exit code.
+    """Run a coroutine function on an event loop; return the exit code.
 
-    A failure to listen is reported in one line, without a traceback.
+    Failure to open a listener is reported in one line, without a traceback.
     """
     signals = processsignals.PROCESS
     signals.install()
@@ -124,10 +124,15 @@
     dump: Callable[[], bytes],
     stop_requested: asyncio.Future | None = None,
 ) -> bool:
-    """Wait for SIGTERM, SIGINT or `asked`; False on a broken invariant.
+    """Wait for SIGTERM, SIGINT or `stop_requested`; return False on a failure.
 
-    A stop that was asked for while the program started counts. SIGUSR1 writes
-    a dump of the state to standard error, also while the program drains.
+    A stop requested during startup counts. SIGUSR1 writes a dump of the state
+    to standard error, also while the program drains.
+
+    Args:
+        failures: Futures that get an exception when an invariant is violated.
+        dump: Returns the state dump.
+        stop_requested: Completes when another party stops the program.
     """
     loop = asyncio.get_running_loop()
     stop = (
@@ -151,7 +156,7 @@
 
 
 def set_reload_action(action: Callable[[], None]) -> None:
-    """Run an action whenever SIGHUP comes, until the program stops."""
+    """Run an action on each SIGHUP until the program stops."""
     processsignals.PROCESS.set_action(signal.SIGHUP, action)
 
 
--- a/src/_coltsfootroad/commands/control.py
+++ b/src/_coltsfootroad/commands/control.py
@@ -1,4 +1,4 @@
-"""`colts-control`: one replica of the durable state."""
+"""`colts-control`: a control replica or a relay of the control plane."""
 
 from collections.abc import Callable
 import pathlib
@@ -15,20 +15,20 @@
 from _coltsfootroad.shell import settings as settings_lib
 
 LOG = logs.logger("main")
-# Adds a platform's own calls at an address, passed on by a way to the leader.
+# Serves a platform's API at an address; its calls are forwarded to the leader.
 AddPlatformApi = Callable[[links.ControlLink, str], None]
 BOOTSTRAP = flags.DEFINE_bool(
     "bootstrap",
     False,
-    "Begin a new system with this replica as its only voter. Once, ever: a"
-    " replica that lost its disk must be replaced instead.",
+    "Bootstrap a new system with this replica as its only voter. Use it only"
+    " once per system: a replica that lost its disk must be replaced instead.",
 )
 
 
 def build(
     settings: settings_lib.ControlSettings,
 ) -> controlserver.ControlServer:
-    """Wire the parts of a replica."""
+    """Return a replica with its dependencies."""
     folder = disk_lib.DataFolder(pathlib.Path(settings.data_folder))
     folder.open()
     return controlserver.ControlServer(
@@ -37,13 +37,13 @@
 
 
 def add_no_platform_api(_link: links.ControlLink, _address: str) -> None:
-    """Add no calls of a platform."""
+    """Serve no platform API."""
 
 
 def reload(
     server: controlserver.ControlServer | controlrelay.ControlRelay,
 ) -> None:
-    """Read the settings again; only seeds may change while it runs."""
+    """Reload the settings; only the seeds can change at run time."""
     loaded = settings_lib.load(
         common.SETTINGS.value, settings_lib.ControlSettings
     )
@@ -59,20 +59,20 @@
     bootstrap: bool,
     add_platform_api: AddPlatformApi = add_no_platform_api,
 ) -> int:
-    """Run a replica until it is told to stop."""
+    """Run a replica until it is stopped."""
     server = build(settings)
     if settings.begins_system():
         server.bootstrap()
     elif bootstrap and not server.bootstrap():
         common.print_error(
-            f"--bootstrap: data folder {settings.data_folder} is in use"
-            " already; start without the flag"
+            f"--bootstrap: data folder {settings.data_folder} is already in"
+            " use; start without the flag"
         )
         return common.EXIT_USAGE
     add_platform_api(controlserver.LeaderLink(server), settings.api_listen)
     await server.start()
     common.set_reload_action(lambda: reload(server))
-    # They may have changed between the first reading and now.
+    # The settings may have changed since they were first read.
     reload(server)
     stopped_normally = await common.wait_for_stop([server.broken], server.dump)
     await server.stop()
@@ -82,7 +82,7 @@
 async def run_relay(
     settings: settings_lib.ControlSettings, add_platform_api: AddPlatformApi
 ) -> int:
-    """Run a process without a disk until it is told to stop."""
+    """Run a relay, which has no disk, until it is stopped."""
     relay = controlrelay.ControlRelay(
         settings, controlserver.relay_of(settings)
     )
@@ -95,12 +95,12 @@
 
 
 def main(_: list[str]) -> int:
-    """Run a replica."""
+    """Run a replica or a relay."""
     return main_with(add_no_platform_api)
 
 
 def main_with(add_platform_api: AddPlatformApi) -> int:
-    """Run a replica to which a platform's calls are added."""
+    """Run a replica or a relay that also serves a platform's API."""
     settings = common.read_settings(settings_lib.ControlSettings)
     logs.start(settings.log_level, structured=settings.structured_logs)
     if not settings.data_folder:
--- a/src/_coltsfootroad/commands/ctl.py
+++ b/src/_coltsfootroad/commands/ctl.py
@@ -1,7 +1,7 @@
-"""`colts-ctl`: what operators do, for people and for scripts.
+"""`colts-ctl`: operator commands, with text output or JSON for scripts.
 
-Exit codes: 0 done; 1 refused or failed; 2 wrong usage; 3 the version that
-a patch was written against is stale; 4 no replica answered.
+Exit codes: 0 success; 1 refused or failed; 2 usage error; 3 the base version
+of a patch is stale; 4 no replica answered.
 """
 
 import json
@@ -20,40 +20,41 @@
 EXIT_UNREACHABLE = 4
 
 BASE_VERSION = flags.DEFINE_integer(
-    "base", None, "Version that a patch is written against."
+    "base", None, "Configuration version that a patch is based on."
 )
 PATCH_ID = flags.DEFINE_string(
-    "patch_id", None, "Id of a patch, the same again in a resend."
+    "patch_id", None, "Id of a patch; use the same id to resend it."
 )
 REPLACES = flags.DEFINE_string(
-    "replaces", "", "Identity of the replica that a new one replaces."
+    "replaces", "", "Identity of the replica that the new one replaces."
 )
 
 USAGE = """usage: colts-ctl --settings=FILE [--json] COMMAND
 
-  config get                 the configuration and its version
-  config patch FILE|-        patch it (JSON Merge Patch); --base=VERSION
-  config watch VERSION       wait until VERSION is in force at every entry
-  status                     leader, replicas, entries, endpoints
-  endpoints                  the endpoints known
-  members                    the entries known
-  replica list               each replica and where it stands
-  replica add ADMIN_ADDRESS  add a replica: learn, catch up, then vote;
-                             --replaces=IDENTITY swaps out a lost one
-  replica remove IDENTITY    take a replica out
-  quarantine list            requests that are refused, and why
+  config get                 show the configuration and its version
+  config patch FILE|-        apply a JSON Merge Patch; --base=VERSION
+  config watch VERSION       wait until all entries use VERSION
+  status                     show leader, replicas, entries, endpoints
+  endpoints                  list the endpoints
+  members                    list the entries
+  replica list               list the replicas and their replication lag
+  replica add ADMIN_ADDRESS  add a replica as a learner and promote it to a
+                             voter once it has caught up;
+                             --replaces=IDENTITY removes a lost replica
+  replica remove IDENTITY    remove a replica
+  quarantine list            list the quarantined requests and the reasons
   quarantine add WORKSPACE BODY_BYTES FINGERPRINT REASON
-                             refuse a request, as logs name it; an empty
-                             workspace is written ""
+                             quarantine a request, with the values that
+                             the logs show; "" is the empty workspace
   quarantine remove FINGERPRINT
-                             run a request again
-  snapshot FILE              write a backup of the whole state
+                             remove a request from the quarantine
+  snapshot FILE              write a backup of the durable state
   drain ADMIN_ADDRESS        shut an entry down gracefully
-  dump ADMIN_ADDRESS         a process's state"""
+  dump ADMIN_ADDRESS         show the state of a process"""
 
 
 def get_config(client: ctlclient.Client) -> int:
-    """Show the configuration."""
+    """Print the configuration and its version."""
     response = client.call_leader("/v1/config")
     if response.code != 200:
         return ctlclient.report_failure(response)
@@ -64,7 +65,7 @@
 
 
 def patch_config(client: ctlclient.Client, source: str) -> int:
-    """Patch the configuration."""
+    """Apply a patch to the configuration."""
     if BASE_VERSION.value is None:
         common.print_error("config patch needs --base=VERSION")
         return common.EXIT_USAGE
@@ -91,14 +92,14 @@
 
 
 def read_source(source: str) -> bytes:
-    """Return a file's bytes, or standard input's."""
+    """Return the content of a file, or of standard input for `-`."""
     if source == "-":
         return sys.stdin.buffer.read()
     return pathlib.Path(source).read_bytes()
 
 
 def wait_for_version(client: ctlclient.Client, text: str) -> int:
-    """Wait until a version is in force at every live entry."""
+    """Wait until every live entry uses a configuration version."""
     if not text.isdigit():
         common.print_error(f"config watch needs a version number, not {text!r}")
         return common.EXIT_USAGE
@@ -123,13 +124,13 @@
 
 
 def read_status(client: ctlclient.Client) -> dict:
-    """Return the leader's status, empty when refused."""
+    """Return the leader's status, empty if the call was refused."""
     response = client.call_leader("/v1/status")
     return json.loads(response.body) if response.code == 200 else {}
 
 
 def status(client: ctlclient.Client) -> int:
-    """Show the whole status."""
+    """Print the complete status."""
     response = client.call_leader("/v1/status")
     if response.code != 200:
         return ctlclient.report_failure(response)
@@ -146,7 +147,7 @@
 
 
 def replica_lines(document: dict) -> list[str]:
-    """Return a line per replica."""
+    """Return one line per replica."""
     return [
         f"replica {r['identity']} at {r['address']}:"
         f" {'voter' if r['voter'] else 'learner'}, {r['state']},"
@@ -156,7 +157,7 @@
 
 
 def member_lines(document: dict) -> list[str]:
-    """Return a line per entry."""
+    """Return one line per entry."""
     return [
         f"entry {e['entry']} at {e['address']}"
         f" in {e['availability_zone'] or '-'}: version"
@@ -167,7 +168,7 @@
 
 
 def endpoint_lines(document: dict) -> list[str]:
-    """Return a line per endpoint."""
+    """Return one line per endpoint."""
     return [
         f"endpoint {e['endpoint']} at {e['address']}: {e['service']},"
         f" {e['state']}"
@@ -176,7 +177,7 @@
 
 
 def show_status_list(client: ctlclient.Client, key: str, lines) -> int:
-    """Show one part of the status."""
+    """Print one list of the status."""
     response = client.call_leader("/v1/status")
     if response.code != 200:
         return ctlclient.report_failure(response)
@@ -186,7 +187,7 @@
 
 
 def change_replica_set(client: ctlclient.Client, document: dict) -> int:
-    """Ask for one change of the set of replicas; return an exit code."""
+    """Change the replica set; return the exit code."""
     response = client.call_leader(
         "/v1/replica", method="POST", body=json.dumps(document)
     )
@@ -198,7 +199,7 @@
 
 
 def add_replica(client: ctlclient.Client, address: str) -> int:
-    """Add a replica: as a learner first, as a voter once it caught up."""
+    """Add a replica as a learner; promote it once it has caught up."""
     response = client.fetch(address, "/v1/replica")
     if response is None or response.code != 200:
         common.print_error(f"replica at {address} does not answer")
@@ -220,16 +221,18 @@
         if response is not None and response.code == 200:
             identity = f"{replica['name']}#{replica['disk']}"
             ctlclient.print_result(
-                {"voter": identity}, f"replica {identity} votes"
+                {"voter": identity}, f"replica {identity} is a voter"
             )
             return common.EXIT_OK
         time.sleep(ctlclient.RETRY_PAUSE_S)
-    common.print_error("the replica learns but has not caught up; run it again")
+    common.print_error(
+        "the replica is a learner that has not caught up; run the command again"
+    )
     return common.EXIT_FAILED
 
 
 def remove_replica(client: ctlclient.Client, identity: str) -> int:
-    """Take a replica out of the set."""
+    """Remove a replica from the replica set."""
     known = {r["identity"]: r for r in read_status(client)["replicas"]}
     if identity not in known:
         common.print_error(f"replica {identity!r} is not known: {list(known)}")
@@ -249,7 +252,7 @@
 
 
 def snapshot(client: ctlclient.Client, path: str) -> int:
-    """Write a backup."""
+    """Write a backup of the durable state to a file."""
     response = client.call_leader("/v1/snapshot")
     if response.code != 200:
         return ctlclient.report_failure(response)
@@ -261,7 +264,7 @@
 
 
 def dump(client: ctlclient.Client, address: str) -> int:
-    """Show a process's state."""
+    """Print the state of a process."""
     response = client.fetch(address, "/admin/dump")
     if response is None:
         raise ctlclient.Unreachable(f"{address} does not answer")
@@ -281,16 +284,17 @@
     document = json.loads(response.body)
     seconds = document["accepts_for_s"]
     ctlclient.print_result(
-        document, f"{address} leaves; it accepts for {seconds} s more"
+        document,
+        f"{address} is draining; it accepts requests for {seconds} s more",
     )
     return common.EXIT_OK
 
 
 def run_command(client: ctlclient.Client, arguments: list[str]) -> int:
-    """Run one command."""
+    """Run a command."""
     match arguments:
         case ["config", *rest]:
-            return config(client, rest)
+            return run_config_command(client, rest)
         case ["status"]:
             return status(client)
         case ["endpoints"]:
@@ -298,9 +302,9 @@
         case ["members"]:
             return show_status_list(client, "entries", member_lines)
         case ["replica", *rest]:
-            return replica(client, rest)
+            return run_replica_command(client, rest)
         case ["quarantine", *rest]:
-            return quarantine(client, rest)
+            return run_quarantine_command(client, rest)
         case ["snapshot", path]:
             return snapshot(client, path)
         case ["dump", address]:
@@ -311,8 +315,8 @@
     return common.EXIT_USAGE
 
 
-def config(client: ctlclient.Client, arguments: list[str]) -> int:
-    """Run one command on the configuration."""
+def run_config_command(client: ctlclient.Client, arguments: list[str]) -> int:
+    """Run a configuration command."""
     match arguments:
         case ["get"]:
             return get_config(client)
@@ -324,8 +328,8 @@
     return common.EXIT_USAGE
 
 
-def replica(client: ctlclient.Client, arguments: list[str]) -> int:
-    """Run one command on replicas."""
+def run_replica_command(client: ctlclient.Client, arguments: list[str]) -> int:
+    """Run a replica command."""
     match arguments:
         case ["list"]:
             return show_status_list(client, "replicas", replica_lines)
@@ -337,8 +341,10 @@
     return common.EXIT_USAGE
 
 
-def quarantine(client: ctlclient.Client, arguments: list[str]) -> int:
-    """Run one command on requests in quarantine."""
+def run_quarantine_command(
+    client: ctlclient.Client, arguments: list[str]
+) -> int:
+    """Run a quarantine command."""
     match arguments:
         case ["list"]:
             return quarantinectl.list_entries(client)
--- a/src/_coltsfootroad/commands/ctlclient.py
+++ b/src/_coltsfootroad/commands/ctlclient.py
@@ -1,4 +1,4 @@
-"""The way of `colts-ctl` to the replicas, and how it shows results."""
+"""HTTP client and output functions of `colts-ctl`."""
 
 import json
 import time
@@ -13,22 +13,22 @@
 EXIT_STALE = 3
 RETRY_PAUSE_S = 0.3
 
-JSON = flags.DEFINE_bool("json", False, "Write JSON for scripts.")
+JSON = flags.DEFINE_bool("json", False, "Print JSON for scripts.")
 
 
 class Unreachable(Exception):  # noqa: N818
-    """No replica gave an answer."""
+    """No replica answered."""
 
 
 class Client:
-    """Asks the replicas over HTTP until the leader answers."""
+    """Calls the replicas over HTTP until the leader answers."""
 
     def __init__(self, settings: settings_lib.CtlSettings):
         self.settings = settings
         self.http = tornado.httpclient.HTTPClient()
 
     def fetch(self, address: str, path: str, **arguments):
-        """Return one response, None when there was none."""
+        """Return the response of one address, None if it did not answer."""
         headers = arguments.pop("headers", {})
         headers["Authorization"] = f"Bearer {self.settings.admin_token}"
         try:
@@ -44,10 +44,13 @@
             return None
 
     def call_leader(self, path: str, **arguments):
-        """Return the leader's response.
+        """Return the leader's response; retry until the time-out.
 
-        Asking again is safe: reads change nothing, patches carry an id, and
-        changes of replicas say what the set is to be.
+        Retries are safe: reads change nothing, patches carry an id, and
+        replica changes state the resulting set.
+
+        Raises:
+            Unreachable: The leader did not answer in time.
         """
         deadline = time.monotonic() + self.settings.timeout_s
         while time.monotonic() < deadline:
@@ -56,10 +59,10 @@
                 if response is not None and not is_leader_unavailable(response):
                     return response
             time.sleep(RETRY_PAUSE_S)
-        raise Unreachable("no replica that leads answered in time")
+        raise Unreachable("no leading replica answered in time")
 
     def call_leader_once(self, path: str, **arguments):
-        """Return the first answer of a leader, None if none leads."""
+        """Return the leader's response, None if no replica leads."""
         for address in self.settings.control:
             response = self.fetch(address, path, **dict(arguments))
             if response is not None and not is_leader_unavailable(response):
@@ -68,17 +71,17 @@
 
 
 def is_leader_unavailable(response) -> bool:
-    """Return whether a response says to ask another replica or again."""
+    """Return whether the call must be retried or sent to another replica."""
     return response.code in (503, 599)
 
 
 def print_result(value: object, text: str) -> None:
-    """Write a result as JSON or as text."""
+    """Print a result as JSON or as text."""
     print(json.dumps(value) if JSON.value else text)
 
 
 def report_failure(response) -> int:
-    """Show a refusal; return its exit code."""
+    """Print the error of a response; return the exit code."""
     try:
         error = json.loads(response.body)["error"]
     except (ValueError, KeyError, TypeError):
--- a/src/_coltsfootroad/commands/entry.py
+++ b/src/_coltsfootroad/commands/entry.py
@@ -1,4 +1,4 @@
-"""`colts-entry`: faces callers and endpoints; keeps nothing on disk."""
+"""`colts-entry`: accepts requests and dispatches them; stores nothing."""
 
 import time
 
@@ -10,17 +10,17 @@
 from _coltsfootroad.shell import metrics
 from _coltsfootroad.shell import settings as settings_lib
 
-# Milliseconds, so that two starts never share an incarnation.
+# Incarnations are in milliseconds, so that two starts do not share one.
 INCARNATIONS_PER_S = 1_000
 
 
 def new_incarnation() -> int:
-    """Return a number above that of every earlier start."""
+    """Return a number that is greater than that of every earlier start."""
     return int(time.time() * INCARNATIONS_PER_S)
 
 
 def build(settings: settings_lib.EntrySettings) -> entryserver.EntryServer:
-    """Wire the parts of an entry."""
+    """Return an entry with its dependencies."""
     return entryserver.EntryServer(
         settings=settings,
         incarnation=new_incarnation(),
@@ -31,7 +31,7 @@
 
 
 def main(_: list[str]) -> int:
-    """Run an entry until it is told to stop."""
+    """Run an entry until it is stopped."""
     settings = common.read_settings(settings_lib.EntrySettings)
     if not settings.control:
         common.reject_usage("settings: $.control is empty, needs an address")
--- a/src/_coltsfootroad/commands/gateway.py
+++ b/src/_coltsfootroad/commands/gateway.py
@@ -1,4 +1,4 @@
-"""`colts-gateway`: passes requests on to endpoints by routes."""
+"""`colts-gateway`: forwards requests to endpoints according to the routes."""
 
 from _coltsfootroad.commands import common
 from _coltsfootroad.gateway import dialect as dialect_lib
@@ -13,14 +13,14 @@
 def build(
     settings: settings_lib.GatewaySettings, dialect: dialect_lib.Dialect
 ) -> server_lib.Gateway:
-    """Wire the parts of a gateway."""
+    """Return a gateway with its dependencies."""
     return server_lib.Gateway(
         settings, dialect, metrics.Metrics.start("colts-gateway")
     )
 
 
 def reload(gateway: server_lib.Gateway) -> None:
-    """Read the settings again; wrong ones change nothing."""
+    """Reload the settings; invalid settings are logged and not applied."""
     loaded = settings_lib.load(
         common.SETTINGS.value, settings_lib.GatewaySettings
     )
@@ -33,11 +33,11 @@
 async def serve(
     settings: settings_lib.GatewaySettings, dialect: dialect_lib.Dialect
 ) -> int:
-    """Run a gateway until it is told to stop."""
+    """Run a gateway until it is stopped."""
     gateway = build(settings, dialect)
     await gateway.start()
     common.set_reload_action(lambda: reload(gateway))
-    # They may have changed between the first reading and now.
+    # The settings may have changed since they were first read.
     reload(gateway)
     stopped_normally = await common.wait_for_stop([], gateway.dump)
     await gateway.drain()
@@ -45,7 +45,7 @@
 
 
 def main_with(dialect: dialect_lib.Dialect) -> int:
-    """Run a gateway that speaks the given dialect."""
+    """Run a gateway with a platform's header names and engine calls."""
     settings = common.read_settings(settings_lib.GatewaySettings)
     if not settings.seeds:
         common.reject_usage("settings: $.seeds is empty, needs an address")
--- a/src/_coltsfootroad/commands/quarantinectl.py
+++ b/src/_coltsfootroad/commands/quarantinectl.py
@@ -1,4 +1,4 @@
-"""Commands of `colts-ctl` on requests in quarantine."""
+"""Quarantine commands of `colts-ctl`."""
 
 import json
 import time
@@ -10,7 +10,7 @@
 
 
 def list_entries(client: ctlclient.Client) -> int:
-    """Show what is refused."""
+    """Print the quarantined requests."""
     response = client.call_leader(PATH)
     if response.code != 200:
         return ctlclient.report_failure(response)
@@ -21,7 +21,7 @@
 
 
 def format_entry(entry: dict, unix_s: float) -> str:
-    """Return what people are shown of an entry."""
+    """Return one quarantine entry as a line of text."""
     trial = "no trial"
     if entry["trial_at"] is not None:
         remaining_s = max(0, round(entry["trial_at"] - unix_s))
@@ -42,7 +42,7 @@
     fingerprint: str,
     reason: str,
 ) -> int:
-    """Refuse a request from now on."""
+    """Add a request to the quarantine."""
     if not body_bytes.isdigit():
         common.print_error(f"BODY_BYTES must be a number, not {body_bytes!r}")
         return common.EXIT_USAGE
@@ -62,7 +62,7 @@
 
 
 def remove(client: ctlclient.Client, fingerprint: str) -> int:
-    """Run a request again."""
+    """Remove a request from the quarantine."""
     response = client.call_leader(f"{PATH}/{fingerprint}", method="DELETE")
     if response.code != 200:
         return ctlclient.report_failure(response)
--- a/src/_coltsfootroad/commands/replay.py
+++ b/src/_coltsfootroad/commands/replay.py
@@ -1,4 +1,4 @@
-"""`colts-replay`: replays a recorded trace and checks its outcomes."""
+"""`colts-replay`: replays a recorded trace and checks expected outcomes."""
 
 import json
 
@@ -52,9 +52,9 @@
 
 
 def replay_all(trace: trace_lib.Trace, selected: tuple[str, ...]) -> int:
-    """Replay under each policy; return 1 if an outcome is not met."""
+    """Replay under each policy; return 1 if an expected outcome is not met."""
     if not JSON.value:
-        print(f"{HEADER}  first token p50/p95 s by length class")
+        print(f"{HEADER}  time to first token p50/p95 s by length class")
     reports = []
     for name in selected:
         reports.append(player.replay(trace, name))
@@ -63,7 +63,7 @@
     for fault in violations:
         common.print_error(f"outcome not met: {fault}")
     if trace.outcomes and not violations and not JSON.value:
-        print(f"all {len(trace.outcomes)} stated outcomes met")
+        print(f"all {len(trace.outcomes)} expected outcomes met")
     return common.EXIT_FAILED if violations else common.EXIT_OK
 
 
--- a/src/_coltsfootroad/commands/standalone.py
+++ b/src/_coltsfootroad/commands/standalone.py
@@ -1,4 +1,4 @@
-"""`colts-standalone`: every role in one process, for a first try."""
+"""`colts-standalone`: all roles in one process, for trying out."""
 
 import asyncio
 import json
@@ -28,7 +28,7 @@
 
 @attrs.define(eq=False)
 class Standalone:
-    """All parts of a one-process system."""
+    """The components of a one-process system."""
 
     settings: settings_lib.StandaloneSettings
     control: controlserver.ControlServer
@@ -37,9 +37,9 @@
     admin: object = None
 
     async def start(self) -> None:
-        """Start the parts, the control state first."""
+        """Start the components, the control replica first."""
         if not self.control.bootstrap():
-            LOG.info("data folder {} is in use, going on", self.data_folder)
+            LOG.info("data folder {} is in use, reusing it", self.data_folder)
         self.control.wake()
         await self.wait_for_leader()
         await self.put_config()
@@ -50,18 +50,18 @@
 
     @property
     def data_folder(self) -> str:
-        """Return the folder of the durable state."""
+        """Return the path of the data folder."""
         return self.settings.data_folder
 
     async def wait_for_leader(self) -> None:
-        """Wait until the only replica leads."""
+        """Wait until the only replica is leader."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + LEADER_WAIT_S
         while self.control.node.hub is None and loop.time() < deadline:
             await asyncio.sleep(POLL_S)
 
     async def put_config(self) -> None:
-        """Put the first configuration in force, if there is none."""
+        """Apply the configured configuration, unless one is already stored."""
         if self.control.node.state.configs.version or not self.settings.config:
             return
         answer = await self.control.call(
@@ -72,10 +72,10 @@
             )
         )
         if answer.failure is not None:
-            LOG.error("first configuration: {}", answer.failure.message)
+            LOG.error("first configuration refused: {}", answer.failure.message)
 
     def listen_admin(self) -> None:
-        """Serve operators, dump and metrics of all parts."""
+        """Serve the operator API, the state dump and the metrics."""
         routes = operators.routes(self.control) + web.admin_routes(
             self.settings.admin_token, self.dump, self.entry.metrics
         )
@@ -86,7 +86,7 @@
         )
 
     def dump(self) -> bytes:
-        """Return the dumps of both roles."""
+        """Return the state dumps of both roles."""
         parts = {
             "entry": json.loads(self.entry.dump()),
             "control": json.loads(self.control.dump()),
@@ -94,7 +94,7 @@
         return json.dumps(parts, indent=1).encode()
 
     async def stop(self) -> None:
-        """Finish what is in progress, then stop."""
+        """Drain the entry, then stop all components."""
         await self.entry.drain()
         for endpoint in self.endpoints:
             await endpoint.stop()
@@ -106,7 +106,7 @@
 
 
 def build(settings: settings_lib.StandaloneSettings) -> Standalone:
-    """Wire every role on one loop."""
+    """Return a system whose roles share an event loop."""
     metrics = metrics_lib.Metrics.start("colts-standalone")
     folder = disk_lib.DataFolder(pathlib.Path(settings.data_folder))
     folder.open()
@@ -139,7 +139,7 @@
 def fake_endpoints(
     settings: settings_lib.StandaloneSettings,
 ) -> list[httpendpoint.FakeEndpoint]:
-    """Return the stand-in endpoints: engines, and one plain service."""
+    """Return the fake endpoints: engines and one plain service."""
     host, port = settings_lib.split_address(settings.listen)
     fakes = []
     for number in range(settings.fake_engines):
@@ -167,7 +167,7 @@
 
 
 def main(_: list[str]) -> int:
-    """Run a whole system until it is told to stop."""
+    """Run a complete system until it is stopped."""
     settings = common.read_settings(settings_lib.StandaloneSettings)
     logs.start(settings.log_level)
 
--- a/src/_coltsfootroad/fakes/__init__.py
+++ b/src/_coltsfootroad/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for engines and services, for tests, replay and the demo."""
+"""Fake engines and services for tests, replay and the demo."""
--- a/src/_coltsfootroad/fakes/engine.py
+++ b/src/_coltsfootroad/fakes/engine.py
@@ -1,9 +1,9 @@
-"""A stand-in engine in virtual time: batches, caches, honours priorities.
+"""A fake engine in virtual time, with batching, prefix cache and priorities.
 
-It reads prompts one chunk at a time, most urgent first, so that a long
-prompt holds up a short one by at most a chunk; generates for all running
-requests at once; keeps memory until a request ends or is cancelled; and
-caches prompt blocks, oldest dropped first.
+It prefills prompts one chunk at a time, most urgent first, so that a long
+prompt delays a short one by at most one chunk. It decodes all running
+requests concurrently, holds the memory of a request until the request ends
+or is cancelled, and caches prompt blocks with LRU eviction.
 """
 
 import collections
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class EngineSpeed:
-    """Speed and size of a stand-in engine."""
+    """Speed and capacity of a fake engine."""
 
     prefill_rate: float = 20_000.0
     token_s: float = 0.03
@@ -33,7 +33,7 @@
 
 @attrs.define(eq=False)
 class Job:
-    """One part of an attempt at an engine."""
+    """One part of an attempt, as an engine runs it."""
 
     key: endpoints.WorkKey
     owner: str
@@ -64,14 +64,14 @@
 
 @attrs.define
 class GroupPrefills:
-    """Which parts of groups have been read, over all engines."""
+    """Prefilled parts of the prompts that groups of engines share."""
 
     prefilled_parts: dict[endpoints.WorkKey, dict[int, object]] = attrs.Factory(
         dict
     )
 
     def add_prefilled_part(self, engine, job: Job, now: float) -> None:
-        """Start generating at the leader once all parts are read."""
+        """Start decoding at the group's leader once all parts are prefilled."""
         parts = self.prefilled_parts.setdefault(job.key, {})
         parts[job.part] = (engine, job)
         if len(parts) < job.parts:
@@ -81,13 +81,13 @@
         leader_engine.start_decode(leader, now)
 
     def drop_group(self, key: endpoints.WorkKey) -> None:
-        """Drop a group that was cancelled."""
+        """Drop a group whose request was cancelled."""
         self.prefilled_parts.pop(key, None)
 
 
 @attrs.define(eq=False)
 class EngineModel:
-    """The stand-in itself; `advance` brings it up to a time."""
+    """State of a fake engine; `advance` runs it up to a time."""
 
     name: str
     speed: EngineSpeed
@@ -111,7 +111,7 @@
     prefilled_tokens: float = 0.0
 
     def submit(self, job: Job, now: float) -> list[Output]:
-        """Take a job; a repeated one changes nothing."""
+        """Queue a job; a job that is already known is ignored."""
         outputs = self.advance(now)
         self.marks[job.owner] = max(self.marks.get(job.owner, 0), job.mark)
         if job.key in self.jobs:
@@ -125,7 +125,7 @@
         return outputs
 
     def cached_share(self, job: Job) -> float:
-        """Return the share of a prompt that is in the cache."""
+        """Return the cached share of a prompt."""
         if not job.prefix_hashes:
             return 0.0
         matched = 0
@@ -136,7 +136,7 @@
         return matched / len(job.prefix_hashes)
 
     def cancel(self, key: endpoints.WorkKey, now: float) -> list[Output]:
-        """Drop a job and free its memory."""
+        """Cancel a job and free its memory."""
         outputs = self.advance(now)
         job = self.jobs.pop(key, None)
         if job is not None:
@@ -150,7 +150,7 @@
     def reprioritise(
         self, key: endpoints.WorkKey, priority: int, now: float
     ) -> None:
-        """Change the priority of a job that waits."""
+        """Change the priority of a job that waits for prefill."""
         job = self.jobs.get(key)
         if job is None or job.is_prefilled:
             return
@@ -160,20 +160,20 @@
         heapq.heappush(self.queue, (priority, job.number, job))
 
     def free_memory(self, job: Job) -> None:
-        """Give back the memory of a job."""
+        """Free the memory of a job."""
         if job.admitted:
             self.kv_used -= job.kv_tokens
             job.admitted = False
 
     def next_event(self) -> float | None:
-        """Return when something happens next."""
+        """Return the time of the next event, None if there is none."""
         times = [self.timers[0][0]] if self.timers else []
         if self.prefilling_job is not None:
             times.append(self.prefill_chunk_end)
         return min(times, default=None)
 
     def advance(self, now: float) -> list[Output]:
-        """Run up to `now` and return what was generated."""
+        """Run up to `now` and return the generated chunks."""
         outputs: list[Output] = []
         while True:
             at = self.next_event()
@@ -186,7 +186,7 @@
                 outputs += self.emit_next_chunk(job, at)
 
     def start_prefill_chunk(self, now: float) -> None:
-        """Begin to read the most urgent prompt that fits into memory."""
+        """Start prefill of the most urgent prompt that fits into memory."""
         if self.prefilling_job is not None:
             return
         job = self.next_job()
@@ -199,7 +199,7 @@
         self.prefill_chunk_end = now + tokens / rate
 
     def next_job(self) -> Job | None:
-        """Return the most urgent job that has or can get its memory."""
+        """Return the most urgent job that has memory or can allocate it."""
         skipped = []
         found = None
         while self.queue:
@@ -219,7 +219,7 @@
         return found
 
     def admit(self, job: Job) -> bool:
-        """Give a job its memory if there is room."""
+        """Allocate the memory of a job if enough is free."""
         if job.admitted:
             return True
         if self.kv_used + job.kv_tokens > self.speed.kv_tokens:
@@ -229,7 +229,7 @@
         return True
 
     def end_prefill_chunk(self, now: float) -> None:
-        """End the chunk being read; a read prompt begins to generate."""
+        """End a prefill chunk; start decode once the prompt is prefilled."""
         job = self.prefilling_job
         self.prefilling_job = None
         self.prefilled_tokens += self.prefill_chunk_tokens
@@ -244,7 +244,7 @@
         self.start_prefill_chunk(now)
 
     def start_decode(self, job: Job, now: float) -> None:
-        """Plan the pieces of the answer, the first token at once."""
+        """Schedule the chunks of the answer, the first token immediately."""
         job.pending_chunks = split_into_chunks(
             job.output_tokens, job.resume_offset
         )
@@ -252,7 +252,7 @@
         heapq.heappush(self.timers, (now, self.number, job))
 
     def emit_next_chunk(self, job: Job, now: float) -> list[Output]:
-        """Emit the next piece of a job's answer."""
+        """Emit the next chunk of a job's answer."""
         if self.jobs.get(job.key) is not job or not job.pending_chunks:
             return []
         chunk = job.pending_chunks.pop(0)
@@ -272,7 +272,7 @@
     # --- cache and reports -----------------------------------------------
 
     def cache_blocks(self, job: Job) -> None:
-        """Put the blocks of a read prompt into the cache."""
+        """Add the blocks of a prefilled prompt to the cache."""
         stored = [b for b in job.prefix_hashes if b not in self.cached_blocks]
         for block in job.prefix_hashes:
             self.cached_blocks[block] = True
@@ -294,7 +294,7 @@
         )
 
     def pending_prefill_tokens(self, now: float) -> tuple[int, ...]:
-        """Return the prompt tokens that wait, per priority."""
+        """Return the prompt tokens that wait for prefill, per priority."""
         totals = [0.0] * lengths.BAND_COUNT
         for job in self.jobs.values():
             if not job.is_prefilled:
@@ -308,7 +308,7 @@
         return tuple(max(0, round(t)) for t in totals)
 
     def report(self, seq: int, now: float) -> endpoints.LoadReport:
-        """Return a load report of this moment."""
+        """Return the current load report."""
         held = tuple(
             endpoints.HeldWork(
                 request_id=job.key[0],
@@ -333,10 +333,10 @@
 
 
 def split_into_chunks(tokens: int, offset: int) -> list[request_lib.Chunk]:
-    """Return the pieces of an answer: one token, then a few larger ones.
+    """Return the chunks of an answer: the first token, then larger chunks.
 
-    The text of a token names its place, so that a mixed or gapped answer
-    shows.
+    The text of a token contains its position, so that a test detects tokens
+    that are missing or out of order.
     """
     if offset >= tokens:
         return [make_chunk(offset, 0, True)]
@@ -351,7 +351,7 @@
 
 
 def make_chunk(offset: int, tokens: int, final: bool) -> request_lib.Chunk:
-    """Return one piece of an answer."""
+    """Return one chunk of an answer."""
     text = "".join(f"t{n} " for n in range(offset, offset + tokens))
     return request_lib.Chunk(
         offset=offset, tokens=tokens, data=text.encode(), final=final
@@ -359,5 +359,5 @@
 
 
 def complete_text(tokens: int) -> bytes:
-    """Return the text of a whole answer."""
+    """Return the text of a complete answer."""
     return "".join(f"t{n} " for n in range(tokens)).encode()
--- a/src/_coltsfootroad/fakes/fleet.py
+++ b/src/_coltsfootroad/fakes/fleet.py
@@ -1,7 +1,6 @@
-"""Starts a whole system as processes on loopback, for tests and the demo.
+"""Starts a complete system as processes on loopback, for tests and the demo.
 
-The programs themselves start no process; this is the scaffolding round
-them. It ends only what it started, by process id.
+It ends only the processes that it started, by process id.
 """
 
 import hashlib
@@ -29,7 +28,7 @@
 
 @attrs.define
 class Program:
-    """A process that was started, and how to start it again."""
+    """A program with its command line, log file and process."""
 
     name: str
     command: list[str]
@@ -51,25 +50,25 @@
         self.process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process, if it runs, and wait for its end."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
 
     def stop(self) -> int:
-        """Ask the process to stop; return its exit code."""
+        """Stop the process with SIGTERM; return its exit code."""
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(STOP_TIMEOUT_S)
 
 
 def module(name: str) -> list[str]:
-    """Return the command that runs a module of ours."""
+    """Return the command line that runs a module of this package."""
     return [sys.executable, "-m", f"_coltsfootroad.{name}"]
 
 
 @attrs.define
 class Fleet:
-    """Control replicas, entries and stand-in endpoints."""
+    """Control replicas, entries and fake endpoints."""
 
     folder: pathlib.Path
     replicas: int = 1
@@ -90,7 +89,7 @@
     # --- start and stop --------------------------------------------------
 
     def start(self, config: dict) -> None:
-        """Start everything and put a configuration in force."""
+        """Start all processes and apply a configuration."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.assign_addresses()
         for number in range(self.replicas):
@@ -107,7 +106,7 @@
         self.wait_for(self.is_ready, "the entries to be ready")
 
     def assign_addresses(self) -> None:
-        """Give every process its addresses."""
+        """Assign the addresses of all processes."""
         names = [f"control-{n}" for n in range(self.replicas)]
         names += [f"entry-{n}" for n in range(self.entry_count)]
         ports = ports_lib.free_ports(3 * len(names) + self.engines + self.plain)
@@ -121,7 +120,7 @@
             self.listen[f"billing-{number}"] = f"{HOST}:{ports.pop()}"
 
     def add_program(self, name: str, module_name: str, document: dict) -> None:
-        """Write a program's settings and note how to start it."""
+        """Write the settings of a program and register it."""
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(document))
         command = module(module_name)
@@ -172,7 +171,7 @@
         (self.folder / "ctl.json").write_text(json.dumps(document))
 
     def write_fakes(self) -> None:
-        """Write the settings of the stand-in endpoints."""
+        """Write the settings of the fake endpoints."""
         engines = [
             {
                 "name": f"engine-{n}",
@@ -202,7 +201,7 @@
         self.add_program("fakes", "fakes.serve", document)
 
     def start_control(self) -> None:
-        """Start the replicas: one begins the system, the others join."""
+        """Bootstrap the first replica and add the others."""
         self.programs["control-0"].start("--bootstrap")
         self.wait_for(lambda: self.status() is not None, "a leader")
         for number in range(1, self.replicas):
@@ -216,24 +215,24 @@
                 raise RuntimeError(f"adding {name}: {outcome.stderr}")
 
     def stop(self) -> None:
-        """End whatever is still running."""
+        """Kill all processes that still run."""
         for program in self.programs.values():
             program.kill()
         self.client.close()
 
-    # --- questions -------------------------------------------------------
+    # --- state -----------------------------------------------------------
 
     def wait_for(self, check, what: str) -> None:
-        """Wait until a check holds."""
+        """Wait until `check` returns true; `what` describes it in the error."""
         end = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < end:
             if check():
                 return
             time.sleep(POLL_S)
-        raise RuntimeError(f"waited in vain for {what}")
+        raise RuntimeError(f"timed out waiting for {what}")
 
     def fetch(self, url: str, **arguments):
-        """Return a response, None when there was none."""
+        """Return a response, None if there was none."""
         try:
             return self.client.fetch(
                 url, raise_error=False, request_timeout=60.0, **arguments
@@ -242,21 +241,21 @@
             return None
 
     def admin_fetch(self, name: str, path: str, **arguments):
-        """Return a process's answer on its admin listener."""
+        """Return a response of a process's admin listener."""
         headers = arguments.pop("headers", {})
         headers["Authorization"] = f"Bearer {ADMIN_TOKEN}"
         url = f"http://{self.admin[name]}{path}"
         return self.fetch(url, headers=headers, **arguments)
 
     def replica_info(self, name: str) -> dict | None:
-        """Return what a replica says of itself."""
+        """Return a replica's own status, None if it does not answer."""
         response = self.admin_fetch(name, "/v1/replica")
         if response is None or response.code != 200:
             return None
         return json.loads(response.body)
 
     def status(self) -> dict | None:
-        """Return the leader's status, None while nobody leads."""
+        """Return the leader's status, None while there is no leader."""
         for number in range(self.replicas):
             response = self.admin_fetch(f"control-{number}", "/v1/status")
             if response is not None and response.code == 200:
@@ -292,7 +291,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Return whether every entry admits requests and knows the fleet."""
+        """Return whether all entries are healthy and know the whole fleet."""
         names = [f"entry-{number}" for number in range(self.entry_count)]
         return all(self.is_healthy(name) for name in names) and all(
             self.knows_all_members(name) for name in names
@@ -306,8 +305,8 @@
     def knows_all_members(self, entry: str) -> bool:
         """Return whether an entry knows all entries and endpoints.
 
-        An entry that starts last is healthy up to a heartbeat before the
-        others name it to callers.
+        The entry that starts last is healthy up to one heartbeat interval
+        before the others include it in their address answers.
         """
         response = self.admin_fetch(entry, "/admin/dump")
         if response is None or response.code != 200:
@@ -325,7 +324,7 @@
     def request_completion(
         self, entry: str, prompt: str, tokens: int, **headers
     ):
-        """Ask for a whole completion."""
+        """Request a completion without streaming."""
         body = {"model": "assistant", "prompt": prompt, "max_tokens": tokens}
         return self.fetch(
             f"http://{self.listen[entry]}/v1/completions",
@@ -335,7 +334,7 @@
         )
 
     def charge(self, entry: str, key: str, body: str):
-        """Make a call that must not run twice."""
+        """Make a non-idempotent call to the billing service."""
         return self.fetch(
             f"http://{self.listen[entry]}/services/billing/charge",
             method="POST",
@@ -349,7 +348,7 @@
 
 
 def default_config() -> dict:
-    """Return a configuration that fits the stand-ins."""
+    """Return a configuration for the fake endpoints."""
     return {
         "services": {
             "assistant": {"kind": "engine", "objective": "short_slowdown"},
--- a/src/_coltsfootroad/fakes/httpendpoint.py
+++ b/src/_coltsfootroad/fakes/httpendpoint.py
@@ -1,4 +1,4 @@
-"""Stand-in endpoints over HTTP, for the demo, tests and benchmarks."""
+"""Fake endpoints over HTTP, for the demo, tests and benchmarks."""
 
 import asyncio
 import json
@@ -20,16 +20,16 @@
 
 MAX_BODY_BYTES = 32 * 1024 * 1024
 ANNOUNCE_INTERVAL_S = 1.0
-# Entries that hear an endpoint directly; the rest hear it by heartbeats.
+# Entries that an endpoint posts to; the others learn from their heartbeats.
 ANNOUNCED_ENTRIES = 2
 POST_TIMEOUT_S = 2.0
 
 
 @attrs.define(eq=False)
 class FakeEndpoint:
-    """One stand-in endpoint: announces itself, serves, reports, leaves.
+    """A fake endpoint that announces itself, serves and reports its load.
 
-    `runs` counts, per request id or key, how often work was begun here.
+    `runs` counts how often work started here, by request id or key.
     """
 
     name: str
@@ -62,7 +62,7 @@
         self.loop = asyncio.get_event_loop()
 
     async def start(self) -> None:
-        """Listen and begin to announce."""
+        """Open the listener and start announcements."""
         parts = {"endpoint": self}
         app = tornado.web.Application(
             [
@@ -80,24 +80,24 @@
         self.task = self.loop.create_task(self.announce_periodically())
 
     async def stop(self) -> None:
-        """Stop serving at once, as a kill would."""
+        """Stop at once, without a sign-off, like a killed process."""
         self.task.cancel()
         self.server.stop()
         await self.server.close_all_connections()
 
     async def leave(self) -> None:
-        """Say that this endpoint leaves."""
+        """Announce that this endpoint leaves."""
         self.state = registry.EndpointState.LEAVING
         await self.announce()
 
     async def announce_periodically(self) -> None:
-        """Announce and report while this endpoint lives."""
+        """Announce and report at a fixed interval until cancelled."""
         while True:
             await self.announce()
             await asyncio.sleep(ANNOUNCE_INTERVAL_S)
 
     async def announce(self) -> None:
-        """Announce, and report load and cache events."""
+        """Announce this endpoint; engines also report load and cache events."""
         self.seq += 1
         announcement = registry.Announcement(
             endpoint=self.name,
@@ -127,9 +127,10 @@
             await self.post_to_entries("cache", event)
 
     async def post_to_entries(self, path: str, message: object) -> None:
-        """Post a message to a few entries; the next ones where some fail.
+        """Post a message to a few entries; replace failed entries by others.
 
-        Cache events go to all: nobody passes them on.
+        Cache events are posted to all entries, because entries do not forward
+        them.
         """
         document = documents.CONVERTER.unstructure(message)
         ranked = sorted(
@@ -156,11 +157,11 @@
     # --- engine ----------------------------------------------------------
 
     def now(self) -> float:
-        """Return seconds on the loop's clock."""
+        """Return the event loop's time in seconds."""
         return self.loop.time()
 
     def submit(self, job: engine_lib.Job) -> asyncio.Queue:
-        """Start a job; its chunks come over the queue."""
+        """Start a job; return the queue of its chunks."""
         queue: asyncio.Queue = asyncio.Queue()
         self.queues[job.key] = queue
         self.count_start(job.key[0])
@@ -169,7 +170,7 @@
         return queue
 
     def count_start(self, name: str) -> None:
-        """Count that work began."""
+        """Count a start of work."""
         self.runs[name] = self.runs.get(name, 0) + 1
 
     def cancel(self, key) -> None:
@@ -181,7 +182,7 @@
         self.schedule_model()
 
     def advance_model(self) -> None:
-        """Bring the model up to now."""
+        """Advance the model to the current time."""
         self.timer = None
         self.queue_outputs(self.model.advance(self.now()))
         self.schedule_model()
@@ -196,7 +197,7 @@
             self.timer = self.loop.call_at(at, self.advance_model)
 
     def queue_outputs(self, outputs: list[engine_lib.Output]) -> None:
-        """Put chunks where their streams wait."""
+        """Add chunks to the queues of their streams."""
         for output in outputs:
             queue = self.queues.get(output.job.key)
             if queue is not None:
@@ -204,14 +205,14 @@
 
 
 class FakeHandler(web.Handler):
-    """Base of the stand-in's handlers."""
+    """Base of the fake endpoint's handlers."""
 
     def initialize(self, endpoint):
-        """Keep the stand-in."""
+        """Set the endpoint."""
         self.endpoint = endpoint
 
     def key(self, document: dict):
-        """Return the key of the attempt that a message is about."""
+        """Return the key of a message's attempt."""
         return (document["request_id"], document["attempt"])
 
 
@@ -266,7 +267,7 @@
     """Cancels an attempt."""
 
     def post(self):
-        """Free what the attempt holds; confirm also what is unknown."""
+        """Cancel an attempt; confirm an unknown attempt as well."""
         self.endpoint.cancel(self.key(json.loads(self.request.body)))
         self.send_value({"held": False})
 
@@ -275,7 +276,7 @@
     """Changes a priority."""
 
     def post(self):
-        """Move a waiting attempt."""
+        """Change the priority of an attempt that waits."""
         document = json.loads(self.request.body)
         self.endpoint.model.reprioritise(
             self.key(document), document["priority"], self.endpoint.now()
@@ -284,10 +285,10 @@
 
 
 class OrderHandler(FakeHandler):
-    """Takes orders, refusing old fencing numbers."""
+    """Accepts orders; refuses those with an outdated fencing token."""
 
     def post(self):
-        """Keep an order."""
+        """Record an order."""
         document = json.loads(self.request.body)
         if document["fence"] < self.endpoint.highest_fence:
             self.set_status(409)
@@ -302,7 +303,7 @@
     """Exports the cache of an attempt."""
 
     def post(self):
-        """Answer with a handle, if the attempt is here."""
+        """Return a handle for the attempt, 404 if it is unknown."""
         key = self.key(json.loads(self.request.body))
         if key not in self.endpoint.model.jobs:
             self.set_status(404)
@@ -315,7 +316,7 @@
     """Imports a cache for an attempt."""
 
     def post(self):
-        """Remember the handle."""
+        """Record the handle."""
         document = json.loads(self.request.body)
         key = self.key(document)
         self.endpoint.imported[key] = document["handle"]
@@ -323,10 +324,10 @@
 
 
 class PlainHandler(FakeHandler):
-    """Answers any call of a plain service."""
+    """Answers all calls of a plain service."""
 
     async def echo(self):
-        """Count the call and echo it."""
+        """Count the call and return its content."""
         key = self.request.headers.get("Idempotency-Key", self.request.path)
         self.endpoint.count_start(key)
         if self.endpoint.plain_s:
--- a/src/_coltsfootroad/fakes/launching.py
+++ b/src/_coltsfootroad/fakes/launching.py
@@ -1,8 +1,8 @@
-"""Starts programs as a supervisor does that loses no signal.
+"""Starts programs so that signals sent during their start are not lost.
 
 A signal that arrives before a program has installed its handlers ends it by the
-default action, and nothing that the program does can prevent that. Signals that
-are blocked when it is started stay pending until it unblocks them.
+default action, which the program cannot prevent. Signals that are blocked when
+the program starts stay pending until it unblocks them.
 """
 
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 
 @contextlib.contextmanager
 def blocked_signals() -> Iterator[None]:
-    """Block, in this thread, the signals that programs handle."""
+    """Block the signals that programs handle, in this thread."""
     previous_mask = signal.pthread_sigmask(
         signal.SIG_BLOCK, startsignals.HANDLED
     )
@@ -26,7 +26,7 @@
 
 
 def start(command: list[str], **options) -> subprocess.Popen:
-    """Start a program whose signals stay pending until it handles them.
+    """Start a program; its signals stay pending until it handles them.
 
     `options` are those of `subprocess.Popen`, whose errors are raised.
     """
--- a/src/_coltsfootroad/fakes/ports.py
+++ b/src/_coltsfootroad/fakes/ports.py
@@ -1,37 +1,37 @@
-"""Picks ports for programs that tests and demos start on loopback."""
+"""Selects free loopback ports for programs of tests and demos."""
 
 import os
 import random
 import socket
 
 HOST = "127.0.0.1"
-# Below the range that the system hands out by itself on Linux (32768 and
-# up): a port from there can be taken by any connection in the time between
-# its choice and its use, and a caller then talks to a stranger.
+# Below Linux's ephemeral port range (32768 and up): any connection can take an
+# ephemeral port between its selection and its use, and callers would then reach
+# an unrelated program.
 MIN_PORT = 10_000
 MAX_PORT = 32_000
 MAX_TRIES = 1_000
-# Part of the range after which ports are handed out again.
+# Share of the range after whose use ports are returned again.
 MAX_USED_SHARE = 0.9
-# Ports of programs that are set up and may not listen yet.
+# Ports that were returned; their programs may not listen yet.
 RETURNED_PORTS: set[int] = set()
 
 
 def process_host() -> str:
-    """Return a loopback address that this process alone hands out.
+    """Return a loopback address that depends on the process id.
 
-    A program that is down for a moment leaves its port to whoever looks for
-    one; other runs on the same machine look at other addresses.
+    While a program restarts, its port is free and another test run on the
+    same machine could take it; each run therefore uses its own address.
     """
     pid = os.getpid()
     return f"127.{1 + (pid >> 16) % 254}.{(pid >> 8) % 256}.{1 + pid % 254}"
 
 
 def free_port(host: str = HOST) -> int:
-    """Return a port that nobody listens on, another one at each call.
+    """Return a port that is free, a different one at each call.
 
     Raises:
-        OSError: None was found.
+        OSError: No free port was found.
     """
     rng = random.SystemRandom()
     if len(RETURNED_PORTS) >= MAX_USED_SHARE * (MAX_PORT - MIN_PORT):
@@ -51,5 +51,5 @@
 
 
 def free_ports(count: int, host: str = HOST) -> list[int]:
-    """Return as many different ports that nobody listens on."""
+    """Return `count` different free ports."""
     return [free_port(host) for _ in range(count)]
--- a/src/_coltsfootroad/fakes/serve.py
+++ b/src/_coltsfootroad/fakes/serve.py
@@ -1,4 +1,4 @@
-"""Serves stand-in endpoints as a process: `python -m` with a JSON file."""
+"""Runs fake endpoints in a process: `python -m` with a JSON file."""
 
 import json
 import sys
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointSettings:
-    """One stand-in endpoint."""
+    """Settings of one fake endpoint."""
 
     name: str
     service: str
@@ -28,7 +28,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServeSettings:
-    """All stand-in endpoints of a process, and the entries they tell."""
+    """All fake endpoints of a process and the entries they announce to."""
 
     entries: tuple[str, ...]
     endpoints: tuple[EndpointSettings, ...]
@@ -54,7 +54,7 @@
 
 
 async def serve(settings: ServeSettings) -> int:
-    """Serve until told to stop."""
+    """Serve until stopped; write the run counts to `run_log`."""
     endpoints = build(settings)
     for endpoint in endpoints:
         await endpoint.start()
@@ -70,7 +70,7 @@
 
 
 def main() -> int:
-    """Read the settings file named on the command line and serve."""
+    """Serve the endpoints of the settings file on the command line."""
     with open(sys.argv[1], encoding="utf-8") as file:
         document = json.load(file)
     settings = documents.CONVERTER.structure(document, ServeSettings)
--- a/src/_coltsfootroad/replay/batchengine.py
+++ b/src/_coltsfootroad/replay/batchengine.py
@@ -1,8 +1,9 @@
-"""An engine that reads and writes in passes, in virtual time.
+"""Model of an engine with continuous batching, in virtual time.
 
-It follows what operators state of such engines: a pass with writers takes
-`stride` steps and ends with an event for each of them; each step reads at
-most `chunk_tokens`, parts for other engines first. Memory is not followed.
+It follows the operators' description of their engines. A pass with decoding
+requests takes `stride` steps and ends with one event for each of them. Each
+step prefills at most `chunk_tokens`, parts of split prompts first. Memory is
+not modelled.
 """
 
 import attrs
@@ -12,13 +13,13 @@
 
 @attrs.define(eq=False)
 class Prefill:
-    """A prompt, or one part of it, that an engine has to read.
+    """A prompt, or one part of it, that an engine prefills.
 
     Attributes:
-        left: Tokens that are left.
-        pair_s: Seconds for the pairs of one token, on the average.
-        job: The request that it belongs to.
-        is_part: Whether it is read for another engine.
+        remaining_tokens: Tokens that are not prefilled yet.
+        pair_s: Average seconds for the attention pairs of one token.
+        job: The request of the prompt.
+        is_part: Whether another engine decodes the request.
     """
 
     remaining_tokens: float
@@ -29,16 +30,16 @@
 
 @attrs.define(eq=False)
 class Job:
-    """A request at the engine that writes its answer.
+    """A request at the engine that decodes its answer.
 
     Attributes:
-        prompt_tokens: Tokens of the whole prompt.
-        output_tokens: Tokens that it will write.
-        rank: Place in the queue for a slot, 0 first.
-        unread: Parts that are not read yet, here and at other engines.
-        written: Tokens written so far.
-        event_times: When its events came.
-        done: Whether its last event has come.
+        prompt_tokens: Tokens of the complete prompt.
+        output_tokens: Tokens of the complete answer.
+        rank: Priority in the queue for a batch slot, 0 first.
+        pending_parts: Parts not prefilled yet, here and at other engines.
+        generated_tokens: Tokens generated so far.
+        event_times: Times of its events.
+        done: Whether its last event has been emitted.
     """
 
     prompt_tokens: int
@@ -52,7 +53,7 @@
 
 @attrs.define(eq=False)
 class BatchEngine:
-    """One engine; `pace` above 1 makes it so many times slower."""
+    """One engine; `slowdown` multiplies the duration of its passes."""
 
     spec: routes.EngineSpec
     slowdown: float = 1.0
@@ -63,20 +64,20 @@
     busy_s: float = 0.0
 
     def submit(self, job: Job, parts: int) -> None:
-        """Take a request of which it reads one of so many parts."""
+        """Queue a request; this engine prefills one of `parts` parts."""
         prefill = make_prefill(self.spec, job, parts)
         self.queue.append((job, prefill))
         self.queue.sort(key=lambda entry: entry[0].rank)
 
     def submit_part(self, job: Job, parts: int) -> None:
-        """Take a part to read for another engine."""
+        """Queue one of `parts` parts to prefill for another engine."""
         prefill = make_prefill(self.spec, job, parts)
         prefill.is_part = True
         self.split_prefills.append(prefill)
 
     @property
     def is_idle(self) -> bool:
-        """Return whether there is nothing to do."""
+        """Return whether the engine has no work."""
         return not (
             self.split_prefills
             or self.unsplit_prefills
@@ -85,18 +86,18 @@
         )
 
     def admit(self) -> None:
-        """Give free slots to those that wait."""
+        """Assign free batch slots to queued requests."""
         while self.queue and len(self.active) < self.spec.slots:
             job, prefill = self.queue.pop(0)
             self.active.append(job)
-            # A prompt that is split is read ahead of whole ones everywhere.
+            # Every engine prefills parts of split prompts before unsplit ones.
             split = job.pending_parts > 1
             (self.split_prefills if split else self.unsplit_prefills).append(
                 prefill
             )
 
     def run_pass(self, now: float) -> float:
-        """Run one pass; return when it ends."""
+        """Run one pass; return the time of its end."""
         self.admit()
         decoding = [job for job in self.active if not job.pending_parts]
         context = sum(
@@ -114,7 +115,7 @@
         return now + took_s
 
     def run_prefill_step(self) -> float:
-        """Read as much as one step may; return the seconds it takes."""
+        """Prefill up to `chunk_tokens`; return the seconds that it takes."""
         budget = self.spec.chunk_tokens
         took_s = 0.0
         while budget > 0 and (self.split_prefills or self.unsplit_prefills):
@@ -132,7 +133,7 @@
         return took_s
 
     def emit_event(self, job: Job, at: float) -> None:
-        """Write one event of an answer."""
+        """Emit one event of an answer."""
         job.generated_tokens += self.spec.stride
         job.event_times.append(at)
         if job.generated_tokens >= job.output_tokens:
@@ -141,7 +142,7 @@
 
 
 def make_prefill(spec: routes.EngineSpec, job: Job, parts: int) -> Prefill:
-    """Return one part of a prompt, with its share of the pairs."""
+    """Return one part of a prompt with its share of the attention pairs."""
     pairs_per_token = job.prompt_tokens / 2
     return Prefill(
         remaining_tokens=job.prompt_tokens / parts,
--- a/src/_coltsfootroad/replay/measure.py
+++ b/src/_coltsfootroad/replay/measure.py
@@ -1,4 +1,4 @@
-"""What a replay measures."""
+"""Computes the measures of a replay."""
 
 import attrs
 import numpy
@@ -12,7 +12,7 @@
     *(name for name, _ in lengths.REPORT_CLASSES),
     lengths.LONGEST_CLASS,
 )
-# Requests above this length are the long ones that the slowdown is about.
+# Longer requests are the ones whose effect on short requests is the slowdown.
 LONG_TOKENS = lengths.REPORT_CLASSES[1][1]
 DIGITS = 4
 
@@ -24,15 +24,18 @@
     Attributes:
         policy: Name of the policy.
         requests: Requests in the trace.
-        finished: Requests with a whole answer.
-        refused_not_run: Requests refused and provably not run.
-        failed: Requests that ended in any other way.
-        ttft_p50_s: Median first-token time per length class, seconds.
-        ttft_p95_s: The same at the 95th percentile.
-        short_slowdown_p95: First-token time of short requests over that of
-            the same requests without the long ones, 95th percentile.
-        ends: How each request ended, for stated outcomes.
-        rans: What was said of each failed request.
+        finished: Requests with a complete answer.
+        refused_not_run: Requests refused and certainly not run.
+        failed: All other requests.
+        ttft_p50_s: Median time to first token per length class, seconds.
+        ttft_p95_s: 95th percentile of the same.
+        short_slowdown_p95: Time to first token of short requests, divided by
+            that in a replay without long requests, 95th percentile.
+        retries: Retries of all entries.
+        runs_over_one: Non-idempotent requests that ran more than once.
+        kv_left: KV cache tokens still held after the replay.
+        ends: End of each request, for expected outcomes.
+        rans: Whether each failed request ran, as reported to its caller.
     """
 
     policy: str
@@ -50,7 +53,7 @@
     rans: dict[str, str] = attrs.Factory(dict)
 
     def to_document(self) -> dict:
-        """Return what the command prints."""
+        """Return the measures that `colts-replay --json` prints."""
         document = attrs.asdict(self)
         del document["ends"]
         del document["rans"]
@@ -58,12 +61,12 @@
 
 
 def percentile(values: list[float], percent: float) -> float:
-    """Return a percentile of some values."""
+    """Return a percentile of values, rounded."""
     return round(float(numpy.percentile(values, percent)), DIGITS)
 
 
 def first_token_times(world: world_lib.World) -> dict[str, float]:
-    """Return the first-token time of each request that has one."""
+    """Return the time to first token of each request that has one."""
     return {
         name: record.first_token_s
         for name, record in world.callers.records.items()
@@ -74,7 +77,7 @@
 def percentile_by_class(
     world: world_lib.World, percent: float
 ) -> dict[str, float]:
-    """Return a percentile of first-token times per length class."""
+    """Return a percentile of times to first token per length class."""
     times_by_class: dict[str, list[float]] = {}
     for name, seconds in first_token_times(world).items():
         tokens = world.callers.records[name].request.prompt_tokens
@@ -104,7 +107,7 @@
 
 
 def end_code(record: simcallers.RequestRecord) -> str:
-    """Return how a request ended, in one word."""
+    """Return the end of a request as one word."""
     if record.finished:
         return "finished"
     if record.failure is not None:
@@ -113,7 +116,7 @@
 
 
 def is_refused(record: simcallers.RequestRecord) -> bool:
-    """Return whether a request was refused and did not run."""
+    """Return whether a request was refused and certainly did not run."""
     failure = record.failure
     return failure is not None and failure.ran is errors.Ran.NO
 
--- a/src/_coltsfootroad/replay/network.py
+++ b/src/_coltsfootroad/replay/network.py
@@ -1,4 +1,4 @@
-"""Virtual time, and the links between simulated processes."""
+"""Virtual time and the network between simulated processes."""
 
 from collections.abc import Callable
 import heapq
@@ -9,18 +9,20 @@
 
 @attrs.define(eq=False)
 class Network:
-    """One queue of timed calls, and what happens to messages on their way.
+    """A queue of scheduled calls, with delay, loss and duplication of messages.
 
     Attributes:
-        rng: Where all chance of a simulated fleet comes from.
+        rng: Source of all randomness of a simulated fleet.
         one_way_s: Delay of a message.
         loss: Share of messages that are lost.
-        duplication: Share of messages that arrive twice.
-        extra_delay_s: Most that a message is late by besides.
-        now: Seconds of virtual time.
+        duplication: Share of messages that are delivered twice.
+        extra_delay_s: Maximum random delay in addition to `one_way_s`.
+        now: Virtual time in seconds.
+        queue: Heap of scheduled calls.
+        event_count: Calls scheduled so far; orders calls of the same time.
         cuts: Pairs of sender and receiver whose messages are lost; `*` is
-            everybody.
-        after_event: Called after each call of the queue, for checks.
+            any process.
+        after_event: Invariant check that runs after each call.
     """
 
     rng: random.Random
@@ -37,7 +39,7 @@
     # --- time ------------------------------------------------------------
 
     def at(self, when: float, call: Callable, *arguments) -> None:
-        """Plan a call."""
+        """Schedule a call."""
         self.event_count += 1
         heapq.heappush(self.queue, (when, self.event_count, call, arguments))
 
@@ -54,7 +56,7 @@
     # --- messages --------------------------------------------------------
 
     def send(self, source: str, target: str, call: Callable, *arguments):
-        """Deliver a call, late, twice or never."""
+        """Deliver a call after a delay; it may be lost or duplicated."""
         if self.is_cut(source, target) or self.rng.random() < self.loss:
             return
         copies = 2 if self.rng.random() < self.duplication else 1
@@ -70,7 +72,7 @@
         return any(pair in self.cuts for pair in pairs)
 
     def cut(self, source: str, target: str, both: bool = True) -> None:
-        """Lose messages between two parties; `*` is everybody."""
+        """Drop messages between two processes; `*` is any process."""
         self.cuts.add((source, target))
         if both:
             self.cuts.add((target, source))
--- a/src/_coltsfootroad/replay/player.py
+++ b/src/_coltsfootroad/replay/player.py
@@ -1,4 +1,4 @@
-"""Plays a trace through the real decision code in virtual time."""
+"""Replays a trace in virtual time with the production routing code."""
 
 import json
 import random
@@ -19,9 +19,9 @@
 from _coltsfootroad.replay import trace as trace_lib
 from _coltsfootroad.replay import world as world_lib
 
-# Past the time in which a new leader only keeps old shares.
+# Longer than the time for which a new leader only renews old shares.
 WARM_UP_S = 8.0
-# Time after the last arrival for everything to end and be freed.
+# Time after the last deadline in which all resources are released.
 COOL_DOWN_S = 30.0
 SEED = 7
 BLOCK_TOKENS = 1_024
@@ -34,7 +34,7 @@
 
 
 def policy_factory(name: str, world: world_lib.World):
-    """Return what makes the policy of a service's settings."""
+    """Return the factory of a service's routing policy."""
 
     def refresh(view: endpoints.EndpointView) -> None:
         endpoint = world.endpoints.by_name[view.name]
@@ -63,7 +63,7 @@
 
 @attrs.define(eq=False)
 class Player:
-    """One replay of one trace under one policy."""
+    """A replay of one trace under one policy."""
 
     trace: trace_lib.Trace
     policy: str
@@ -81,7 +81,7 @@
         self.world.entries.make_policy = policy_factory(self.policy, self.world)
 
     def play(self) -> world_lib.World:
-        """Play the whole trace and return the world after it."""
+        """Replay the trace and return the world at its end."""
         self.build()
         start = WARM_UP_S
         for line in self.trace.requests:
@@ -92,7 +92,7 @@
         return self.world
 
     def end(self) -> float:
-        """Return when the last bound of the trace has passed."""
+        """Return the time of the last deadline or fault end of the trace."""
         ends = [line.at + line.deadline_s for line in self.trace.requests]
         ends += [line.at + line.for_s for line in self.trace.faults]
         return max(ends, default=0.0)
@@ -137,7 +137,7 @@
         )
 
     def submit(self, line: trace_lib.RequestLine) -> None:
-        """Send one request of the trace."""
+        """Submit one request of the trace."""
         services = self.world.control.state.configs.config.services
         kind = services[line.service].kind
         shared_blocks = tuple(
@@ -167,7 +167,7 @@
     # --- faults ----------------------------------------------------------
 
     def fault(self, line: trace_lib.FaultLine) -> None:
-        """Carry out one fault, and plan its end."""
+        """Inject one fault and schedule its end."""
         begin, end = FAULTS[line.fault]
         begin(self, line)
         if line.for_s and end is not None:
@@ -177,7 +177,7 @@
 
 
 def default_config(trace: trace_lib.Trace) -> dict:
-    """Return a configuration without limits for all that a trace names."""
+    """Return a configuration without limits for a trace's services."""
     services = {
         line.service: {"kind": line.kind.value} for line in trace.fleet.engines
     }
@@ -225,7 +225,7 @@
 
 
 def check_trace(trace: trace_lib.Trace) -> Result[None, str]:
-    """Return which line of a trace cannot be played."""
+    """Return an error for the first line that cannot be replayed."""
     names = {line.service for line in trace.fleet.engines}
     for line in trace.requests:
         if line.service not in names:
@@ -251,7 +251,7 @@
 def unmet_outcomes(
     trace: trace_lib.Trace, reports: list[measure.Report]
 ) -> list[str]:
-    """Return a sentence for each stated outcome that did not come out."""
+    """Return a message for each expected outcome that is not met."""
     found = []
     for line in trace.outcomes:
         for report in reports:
@@ -264,32 +264,32 @@
 
 
 def check_outcome(line: trace_lib.OutcomeLine, report: measure.Report) -> str:
-    """Return what is wrong with one outcome, empty if nothing is."""
+    """Return why an expected outcome is not met, empty if it is met."""
     if line.request:
         return check_request(line, report)
     value = read_measure(report, line.measure)
     if value is None:
         return f"{line.measure} was not measured"
     if line.at_least is not None and value < line.at_least:
-        return f"{line.measure} is {value}, stated at least {line.at_least}"
+        return f"{line.measure} is {value}, expected at least {line.at_least}"
     if line.at_most is not None and value > line.at_most:
-        return f"{line.measure} is {value}, stated at most {line.at_most}"
+        return f"{line.measure} is {value}, expected at most {line.at_most}"
     return ""
 
 
 def check_request(line: trace_lib.OutcomeLine, report: measure.Report) -> str:
-    """Return what is wrong with how one request ended."""
+    """Return why the end of a request is not as expected, empty if it is."""
     end = report.ends.get(line.request, "never")
     if line.end and end not in line.end.split("|"):
-        return f"{line.request} ended {end}, stated {line.end}"
+        return f"{line.request} ended {end}, expected {line.end}"
     ran = report.rans.get(line.request, "")
     if line.ran and ran != line.ran:
-        return f"{line.request} says ran {ran!r}, stated {line.ran!r}"
+        return f"{line.request} reports ran {ran!r}, expected {line.ran!r}"
     return ""
 
 
 def read_measure(report: measure.Report, path: str) -> float | None:
-    """Return a measure by its path, such as `ttft_p95_s.1k`."""
+    """Return a measure by its path, for example `ttft_p95_s.1k`."""
     value: object = attrs.asdict(report)
     for word in path.split("."):
         value = value.get(word) if isinstance(value, dict) else None
--- a/src/_coltsfootroad/replay/processes.py
+++ b/src/_coltsfootroad/replay/processes.py
@@ -1,4 +1,4 @@
-"""The simulated processes of a fleet, and what its parts need of entries."""
+"""Simulated processes of a fleet and the interface of its entries."""
 
 import abc
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 @attrs.define(eq=False)
 class SimEndpoint:
-    """An endpoint, engine or plain, with its connections."""
+    """An endpoint process, engine or plain service, with its connections."""
 
     name: str
     service: str
@@ -43,17 +43,17 @@
 
 
 class EntriesInterface(abc.ABC):
-    """What callers and endpoints need of the entries.
+    """Operations on entries that callers and endpoints use.
 
     Attributes:
-        by_name: The entry processes, dead ones too.
+        by_name: The entry processes, including those that are down.
     """
 
     by_name: dict[str, SimEntry]
 
     @abc.abstractmethod
     def run_core(self, entry: SimEntry, method: Callable, *arguments) -> None:
-        """Call an entry's core and carry out its actions."""
+        """Call a method of an entry's core and execute its actions."""
 
     @abc.abstractmethod
     def deliver(
@@ -63,4 +63,4 @@
 
     @abc.abstractmethod
     def sample_entries(self) -> list[SimEntry]:
-        """Return the entries that an endpoint talks to this time."""
+        """Return a random sample of the entries that are up."""
--- a/src/_coltsfootroad/replay/simcallers.py
+++ b/src/_coltsfootroad/replay/simcallers.py
@@ -1,4 +1,4 @@
-"""The callers of a simulated fleet, and what became of their requests."""
+"""The callers of a simulated fleet and the results of their requests."""
 
 import attrs
 
@@ -11,7 +11,7 @@
 
 @attrs.define
 class RequestRecord:
-    """What became of one request, as its caller saw it."""
+    """The result of one request as seen by its caller."""
 
     request: request_lib.Request
     entry: str
@@ -27,11 +27,11 @@
 
 @attrs.define(eq=False)
 class SimCallers:
-    """Sends requests to entries and records what comes back.
+    """Sends requests to entries and records the results.
 
     Attributes:
         one_way_s: Delay between a caller and an entry.
-        records: By request id.
+        records: Results by request id.
     """
 
     network: network_lib.Network
@@ -42,7 +42,7 @@
     def submit(
         self, request: request_lib.Request, entry_name: str = ""
     ) -> None:
-        """Send a caller's request to an entry."""
+        """Send a request to the named entry, else to a random one."""
         entry = self.entries.by_name.get(entry_name) or self.pick_entry()
         record = RequestRecord(request, entry.name if entry else "")
         self.records[request.request_id] = record
@@ -53,7 +53,7 @@
         self.network.at(arrives_at, self.deliver, entry, entry.core, request)
 
     def pick_entry(self) -> processes.SimEntry | None:
-        """Return an entry as an address answer would name it."""
+        """Return a random entry of those that an address answer would list."""
         now = self.network.now
         alive = [
             entry
@@ -67,7 +67,7 @@
     def deliver(
         self, entry: processes.SimEntry, core, request: request_lib.Request
     ) -> None:
-        """Give a request to an entry."""
+        """Deliver a request to an entry."""
         now = self.network.now
         if entry.core is not core or not entry.alive:
             self.records[request.request_id].cut_off = True
@@ -86,7 +86,7 @@
     def record_action(
         self, action: actions.Emit | actions.Finish | actions.Fail
     ) -> None:
-        """Record what a caller is told."""
+        """Record a chunk or the end of a request."""
         record = self.records.get(action.request_id)
         if record is None:
             return
@@ -108,7 +108,7 @@
                 record.ends += 1
 
     def cut_off(self, entry_name: str) -> None:
-        """Close the connections of callers whose entry has died."""
+        """Close the connections of callers whose entry was killed."""
         for record in self.records.values():
             if record.entry == entry_name and not record.ends:
                 record.cut_off = True
--- a/src/_coltsfootroad/replay/simcontrol.py
+++ b/src/_coltsfootroad/replay/simcontrol.py
@@ -1,4 +1,4 @@
-"""The control leader of a simulated fleet: real state, no replicas."""
+"""The control plane of a simulated fleet: a leader without replication."""
 
 import attrs
 
@@ -12,7 +12,7 @@
 
 @attrs.define(eq=False)
 class SimControl:
-    """Durable state, and the soft state of the leader that is there now."""
+    """Durable state and the in-memory state of the current leader."""
 
     network: network_lib.Network
     state: state_lib.ControlState = attrs.Factory(state_lib.ControlState)
@@ -24,26 +24,26 @@
         self.start_coordinator()
 
     def start_coordinator(self) -> None:
-        """Start a leader's soft state anew."""
+        """Start a new epoch with empty in-memory state."""
         self.epoch += 1
         name = f"epoch-{self.epoch}"
         self.hub = hub_lib.Hub(name, self.state, self.network.now)
 
     def unix_s(self) -> float:
-        """Return unix seconds."""
+        """Return the time in unix seconds."""
         return START_UNIX_S + self.network.now
 
     def patch(
         self, patch_id: str, base_version: int, patch: bytes
     ) -> messages.PatchAnswer:
-        """Change the configuration as an operator."""
+        """Patch the configuration."""
         command = messages.PatchConfig(
             patch_id=patch_id, base_version=base_version, patch=patch
         )
         return self.state.apply(command, self.unix_s())
 
     def answer(self, message: object) -> object:
-        """Return the leader's answer to an entry."""
+        """Return the leader's answer to an entry's message."""
         match message:
             case messages.SyncRequest():
                 return self.hub.on_sync(message, self.network.now)
@@ -54,11 +54,11 @@
         return self.state.apply(message, self.unix_s())
 
     def stop(self) -> None:
-        """Stop; what was acknowledged is on the disk."""
+        """Stop the leader; acknowledged commands are durable."""
         self.is_up = False
 
     def start(self) -> None:
-        """Start from the disk; soft state is gone."""
+        """Restart with the durable state; the in-memory state is lost."""
         if not self.is_up:
             self.state = state_lib.load(state_lib.save(self.state))
             self.is_up = True
--- a/src/_coltsfootroad/replay/simendpoints.py
+++ b/src/_coltsfootroad/replay/simendpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of a simulated fleet: engines and plain services."""
+"""Simulated endpoints of a fleet: engines and plain services."""
 
 import attrs
 
@@ -18,15 +18,15 @@
 
 @attrs.define(eq=False)
 class SimEndpoints:
-    """Runs the endpoints, and carries work to them and answers back.
+    """Runs the endpoints and exchanges work and answers with the entries.
 
     Attributes:
         report_every_s: Seconds between two load reports of an endpoint.
-        plain_s: How long a plain service takes for a call.
-        by_name: The endpoints, dead ones too.
-        book: What engines of a group know of each other.
-        runs: How often work was begun at an endpoint, by request id and by
-            idempotency key: what at-most-once is judged by.
+        plain_s: Seconds that a plain service takes for a call.
+        by_name: The endpoints, including those that are down.
+        group_prefills: Prefilled parts of groups of engines.
+        runs: Starts of work at endpoints by request id and by idempotency
+            key; tests check at-most-once execution with them.
         dispatches: Time, entry and endpoint of each part that was sent.
     """
 
@@ -46,7 +46,7 @@
     def add_engine(
         self, name: str, service: str, speed: engine_lib.EngineSpeed
     ) -> None:
-        """Add an engine, which announces itself."""
+        """Add an engine, which then announces itself."""
         model = engine_lib.EngineModel(name, speed, self.group_prefills)
         kind = servicekind.ServiceKind.ENGINE
         self.add(processes.SimEndpoint(name, service, kind, model))
@@ -58,7 +58,7 @@
         self.add(processes.SimEndpoint(name, service, kind, model))
 
     def add(self, endpoint: processes.SimEndpoint) -> None:
-        """Add an endpoint and its timers."""
+        """Add an endpoint and start its timers."""
         self.by_name[endpoint.name] = endpoint
         self.announce_periodically(endpoint, endpoint.incarnation)
         offset = self.network.rng.uniform(0, self.report_every_s)
@@ -70,7 +70,7 @@
         )
 
     def kill(self, name: str) -> None:
-        """Kill an endpoint; its connections break at once."""
+        """Kill an endpoint; its connections are closed at once."""
         endpoint = self.by_name[name]
         if not endpoint.alive:
             return
@@ -103,26 +103,26 @@
         )
 
     def leave(self, name: str) -> None:
-        """Let an endpoint say that it leaves."""
+        """Announce that an endpoint leaves."""
         endpoint = self.by_name[name]
         endpoint.state = registry.EndpointState.LEAVING
         if endpoint.alive:
             self.announce(endpoint)
 
     def slow(self, name: str, factor: float) -> None:
-        """Make an engine slower by a factor."""
+        """Set the factor by which an engine is slower."""
         self.by_name[name].model.slow_factor = factor
 
     def kv_held(self) -> int:
-        """Return the memory held on all live engines."""
+        """Return the KV cache tokens held on all engines that are up."""
         return sum(e.model.kv_used for e in self.by_name.values() if e.alive)
 
-    # --- what endpoints say ----------------------------------------------
+    # --- announcements and reports ---------------------------------------
 
     def announce_periodically(
         self, endpoint: processes.SimEndpoint, incarnation: int
     ) -> None:
-        """Announce an endpoint to a few entries while it lives."""
+        """Announce an endpoint at a fixed interval until it ends."""
         if not endpoint.alive or endpoint.incarnation != incarnation:
             return
         self.announce(endpoint)
@@ -134,7 +134,7 @@
         )
 
     def announce(self, endpoint: processes.SimEndpoint) -> None:
-        """Announce an endpoint once."""
+        """Announce an endpoint once to a sample of the entries."""
         endpoint.seq += 1
         announcement = registry.Announcement(
             endpoint=endpoint.name,
@@ -155,7 +155,7 @@
     def report_periodically(
         self, endpoint: processes.SimEndpoint, incarnation: int
     ) -> None:
-        """Report load and cache events while an endpoint lives."""
+        """Report load and cache events periodically until the endpoint ends."""
         if not endpoint.alive or endpoint.incarnation != incarnation:
             return
         self.advance_model(endpoint)
@@ -196,7 +196,7 @@
         action: actions.Dispatch,
         part: actions.Part,
     ) -> None:
-        """Send one part; a refused connection is noticed, a cut is not."""
+        """Send one part; only a refused connection is reported, not a cut."""
         endpoint = self.by_name[part.endpoint]
         core = entry.core
         key = (action.request.request_id, action.attempt)
@@ -222,7 +222,7 @@
         fault: faults.Fault,
         core=None,
     ) -> None:
-        """Tell the core that asked, else the present one, of a fault."""
+        """Report a failed attempt to the given core, else the current one."""
         core = core or entry.core
         self.entries.deliver(
             endpoint.name,
@@ -234,7 +234,7 @@
         )
 
     def run_part(self, entry, core, endpoint, action, part) -> None:
-        """Give one part to an engine."""
+        """Run one part at an engine."""
         request = action.request
         key = (request.request_id, action.attempt)
         self.count_start(request)
@@ -260,7 +260,7 @@
         self.schedule_model(endpoint)
 
     def count_start(self, request: request_lib.Request) -> None:
-        """Count that work began at an endpoint."""
+        """Count a start of work at an endpoint."""
         for name in (request.request_id, request.idempotency_key):
             if name:
                 self.runs[name] = self.runs.get(name, 0) + 1
@@ -290,7 +290,7 @@
         self.network.at(self.network.now + self.plain_s, done)
 
     def cancel(self, entry: processes.SimEntry, action: actions.Cancel) -> None:
-        """Send a cancel; the engine confirms."""
+        """Send a cancellation, which the engine confirms."""
         endpoint = self.by_name[action.endpoint]
         core = entry.core
         key = (action.request_id, action.attempt)
@@ -329,7 +329,7 @@
     # --- engines ---------------------------------------------------------
 
     def schedule_model(self, endpoint: processes.SimEndpoint) -> None:
-        """Plan the next event of an engine."""
+        """Schedule the next event of an engine."""
         at = endpoint.model.next_event()
         if at is None or not endpoint.alive:
             return
@@ -341,17 +341,17 @@
     def run_model_tick(
         self, endpoint: processes.SimEndpoint, model, at: float
     ) -> None:
-        """Run an engine up to now."""
+        """Run a scheduled event of an engine."""
         if endpoint.model is model and endpoint.next_tick_at == at:
             endpoint.next_tick_at = None
             self.advance_model(endpoint)
 
     def advance_model(self, endpoint: processes.SimEndpoint) -> None:
-        """Run an engine up to now and send what it generated."""
+        """Advance an engine to the current time and send its new chunks."""
         if not endpoint.alive:
             return
         self.send_outputs(endpoint, endpoint.model.advance(self.network.now))
-        # A group that completed here starts at its leader elsewhere.
+        # A prefill that ended here may have started decode at another engine.
         for other in self.by_name.values():
             if other is not endpoint and other.model.timers:
                 self.schedule_model(other)
@@ -362,7 +362,7 @@
         endpoint: processes.SimEndpoint,
         outputs: list[engine_lib.Output],
     ) -> None:
-        """Send chunks to the entries that asked for them."""
+        """Send chunks to the entries that requested them."""
         for output in outputs:
             owner = output.job.owner
             entry = self.entries.by_name[owner.rpartition("/")[0]]
--- a/src/_coltsfootroad/replay/simentries.py
+++ b/src/_coltsfootroad/replay/simentries.py
@@ -1,4 +1,4 @@
-"""The entries of a simulated fleet: real cores, simulated shells."""
+"""Simulated entries of a fleet: production cores in a simulated shell."""
 
 from collections.abc import Callable
 import random
@@ -19,23 +19,23 @@
 
 HEARTBEAT_INTERVAL_S = 0.5
 SETTLE_RETRY_DELAY_S = 0.5
-# Shortest time between two wake-ups of a core.
+# Minimum time between two ticks of a core.
 MIN_TICK_DELAY_S = 0.001
-# How long entries collect notes of their dispatches for one message.
+# Maximum time for which entries batch dispatch notes.
 MAX_NOTE_DELAY_S = 0.005
-# Endpoints announce themselves to this many entries.
+# Number of entries to which an endpoint announces itself.
 ANNOUNCED_ENTRIES = 2
 
 
 @attrs.define(eq=False)
 class SimEntries(processes.EntriesInterface):
-    """Runs the cores: time, messages, and the actions that they ask for.
+    """Runs the cores: their timers, messages and actions.
 
     Attributes:
-        by_name: The entry processes, dead ones too.
-        make_policy: Makes the routing policies of new cores; None for the
-            product's own.
-        heartbeats: How many were sent.
+        by_name: The entry processes, including those that are down.
+        make_policy: Factory of the routing policies of new cores; None for
+            the default policies.
+        heartbeats: Number of heartbeats sent.
     """
 
     network: network_lib.Network
@@ -57,7 +57,7 @@
         self.schedule_tick(entry, core)
 
     def new_core(self, name: str, incarnation: int) -> entry_lib.EntryCore:
-        """Return the core of a process that has just started."""
+        """Return the core of a new process."""
         rng = random.Random(self.network.rng.random())
         core = entry_lib.EntryCore(name, incarnation, rng)
         if self.make_policy is not None:
@@ -65,7 +65,7 @@
         return core
 
     def kill(self, name: str) -> None:
-        """Kill an entry process; its callers see a closed connection."""
+        """Kill an entry process and close the connections of its callers."""
         self.by_name[name].alive = False
         self.callers.cut_off(name)
 
@@ -83,7 +83,7 @@
         self.schedule_tick(entry, entry.core)
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Freeze an entry process for a while."""
+        """Freeze an entry process for some seconds."""
         entry = self.by_name[name]
         until = self.network.now + seconds
         entry.frozen_until = max(entry.frozen_until, until)
@@ -94,7 +94,7 @@
         self.run_core(entry, entry.core.begin_drain)
 
     def flights(self) -> list[flights_lib.Flight]:
-        """Return all flights of live entries."""
+        """Return all requests in flight at entries that are up."""
         return [
             flight
             for entry in self.by_name.values()
@@ -105,7 +105,7 @@
     # --- time ------------------------------------------------------------
 
     def run_core(self, entry, method, *arguments) -> None:
-        """Call a core and carry out its actions."""
+        """Call a method of a core and execute its actions."""
         is_stale = not entry.alive or method.__self__ is not entry.core
         if is_stale or self.network.now < entry.frozen_until:
             return
@@ -117,7 +117,7 @@
         self.schedule_tick(entry, core)
 
     def call_when_thawed(self, entry, call: Callable, *arguments) -> None:
-        """Call now, or when a frozen process goes on."""
+        """Call now, or at the end of the freeze if the process is frozen."""
         if self.network.now < entry.frozen_until:
             self.network.at(
                 entry.frozen_until,
@@ -130,7 +130,7 @@
             call(*arguments)
 
     def schedule_tick(self, entry: processes.SimEntry, core) -> None:
-        """Plan the next tick of a core."""
+        """Schedule the next tick of a core."""
         now = self.network.now
         at = max(core.next_wake(now), now + MIN_TICK_DELAY_S)
         if entry.next_tick_at is not None and entry.next_tick_at <= at:
@@ -155,7 +155,7 @@
     # --- messages --------------------------------------------------------
 
     def deliver(self, source, entry, method, *arguments) -> None:
-        """Send a call to an entry's core."""
+        """Send a call to an entry's core over the network."""
         core = entry.core
 
         def arrive() -> None:
@@ -167,7 +167,7 @@
         self.network.send(source, entry.name, arrive)
 
     def sample_entries(self) -> list[processes.SimEntry]:
-        """Return the entries that an endpoint talks to this time."""
+        """Return a random sample of the entries that are up."""
         alive = [entry for entry in self.by_name.values() if entry.alive]
         return self.network.rng.sample(
             alive, min(ANNOUNCED_ENTRIES, len(alive))
@@ -176,7 +176,7 @@
     def call_control(
         self, entry: processes.SimEntry, message: object, reply: Callable
     ) -> None:
-        """Send a call to the leader; `reply` may never be called."""
+        """Send a call to the leader; `reply` is not called if it is lost."""
         core = entry.core
 
         def deliver(answer: object) -> None:
@@ -191,7 +191,7 @@
         self.network.send(entry.name, "control", arrive)
 
     def send_heartbeats(self, entry: processes.SimEntry, core) -> None:
-        """Send heartbeats while the process lives."""
+        """Send heartbeats at a fixed interval until the process ends."""
         if entry.core is not core or not entry.alive:
             return
         now = self.network.now
@@ -221,7 +221,7 @@
     def execute(
         self, entry: processes.SimEntry, action: actions.Action
     ) -> None:
-        """Do what a core asks for."""
+        """Execute an action of a core."""
         core = entry.core
         match action:
             case actions.Dispatch():
@@ -251,7 +251,7 @@
                 self.call_control(entry, message, lambda _: None)
 
     def broadcast_note(self, entry: processes.SimEntry, note) -> None:
-        """Tell the other entries of a dispatch, batched a little."""
+        """Send a dispatch note to the other entries after a batching delay."""
         for other in self.by_name.values():
             if other is not entry and other.alive:
                 wait_s = self.network.rng.uniform(0, MAX_NOTE_DELAY_S)
@@ -267,7 +267,7 @@
     def acquire_claim(
         self, entry: processes.SimEntry, core, action: actions.TakeClaim
     ) -> None:
-        """Ask for a claim."""
+        """Request a claim from control."""
         request_id = action.request.request_id
         message = calls.claim_call(action, self.network.now)
         self.call_control(
@@ -279,7 +279,7 @@
     def settle(
         self, entry: processes.SimEntry, core, action: actions.SettleClaim
     ) -> None:
-        """Settle a claim, again and again until it is heard."""
+        """Settle a claim; retry until control acknowledges."""
         if entry.core is not core or not entry.alive:
             return
         message = calls.settle_call(action)
@@ -299,7 +299,7 @@
 
 
 def make_member(entry: processes.SimEntry) -> addresses.Member:
-    """Return what an entry tells of itself."""
+    """Return the member record of an entry."""
     return addresses.Member(
         entry=entry.name,
         incarnation=entry.core.incarnation,
--- a/src/_coltsfootroad/replay/trace.py
+++ b/src/_coltsfootroad/replay/trace.py
@@ -1,4 +1,4 @@
-"""Recorded traces: what arrives, what fails, what must come out."""
+"""Recorded traces: requests, faults and expected outcomes as JSON lines."""
 
 import json
 import pathlib
@@ -14,10 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class EngineLine:
-    """A kind of engines in the fleet of a trace.
-
-    `true_speed` scales what the routing layer expects to what it gets.
-    """
+    """A group of identical endpoints in the fleet of a trace."""
 
     count: int = 1
     service: str = "assistant"
@@ -30,7 +27,7 @@
 
 @attrs.frozen(kw_only=True)
 class FleetLine:
-    """The fleet that a trace was recorded on."""
+    """The fleet on which a trace was recorded."""
 
     name: str
     entries: int = 9
@@ -43,17 +40,18 @@
 
 @attrs.frozen(kw_only=True)
 class RequestLine:
-    """One arrival.
+    """One request.
 
     Attributes:
         at: Seconds since the start of the trace.
-        id: Name of the request in outcomes.
+        id: Name of the request in expected outcomes.
         prompt_tokens: Length of the prompt.
-        output_tokens: Tokens that the answer has and that are asked for.
-        deadline_s: Bound in seconds.
-        key: Idempotency key; the same key again is a resend.
-        entry: Entry to use, any if empty.
-        shared_prefix: Name and blocks of a prefix shared with others.
+        output_tokens: Length of the answer, which is also the requested one.
+        deadline_s: Seconds until the deadline.
+        key: Idempotency key; a second request with the same key is a resend.
+        entry: Entry to send to, any if empty.
+        shared_prefix: Name of a prefix that requests share.
+        prefix_blocks: Blocks of the shared prefix.
     """
 
     at: float
@@ -72,9 +70,10 @@
 
 @attrs.frozen(kw_only=True)
 class FaultLine:
-    """Something that goes wrong, or is done, at a time.
+    """A fault or an operation at a given time.
 
-    `fault` is one of `World.FAULTS`; `for_s` undoes it after a while.
+    `fault` is a key of `player.FAULTS`; the fault ends after `for_s` seconds if
+    that is not 0.
     """
 
     at: float
@@ -87,9 +86,9 @@
 
 @attrs.frozen(kw_only=True)
 class OutcomeLine:
-    """A stated outcome: a measure and its bounds, or one request's end.
+    """An expected outcome: bounds of a measure, or the end of a request.
 
-    `policies` limits it to some policies; all if empty.
+    It holds under the given `policies`, under all if empty.
     """
 
     measure: str = ""
@@ -111,7 +110,7 @@
 
 @attrs.define
 class Trace:
-    """A whole trace."""
+    """A complete trace."""
 
     fleet: FleetLine
     requests: list[RequestLine] = attrs.Factory(list)
@@ -119,13 +118,13 @@
     outcomes: list[OutcomeLine] = attrs.Factory(list)
 
     def without_longer_than(self, tokens: int) -> "Trace":
-        """Return the trace with only its short requests."""
+        """Return the trace without requests longer than `tokens`."""
         short = [r for r in self.requests if r.prompt_tokens <= tokens]
         return Trace(self.fleet, short, list(self.faults), [])
 
 
 def read(path: str) -> Result[Trace, str]:
-    """Return a trace, or which line is wrong and why."""
+    """Return a trace, or an error that names the invalid line."""
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -142,7 +141,7 @@
 
 
 def read_line(line: str) -> Result[object, str]:
-    """Return one line of a trace."""
+    """Parse one line of a trace."""
     try:
         document = json.loads(line)
     except ValueError as error:
@@ -156,12 +155,12 @@
     try:
         return Ok(documents.CONVERTER.structure(document, LINE_KINDS[kind]))
     except Exception as error:  # noqa: BLE001
-        # cattrs raises groups of whatever the hooks raise.
+        # cattrs raises exception groups with the errors of all hooks.
         return Error(documents.explain(error, "$"))
 
 
 def assemble(path: str, lines: list[object]) -> Result[Trace, str]:
-    """Return the lines of a trace sorted by kind."""
+    """Return the trace that consists of the given lines."""
     fleets = [line for line in lines if isinstance(line, FleetLine)]
     if len(fleets) != 1:
         return Error(f"trace {path}: has {len(fleets)} fleet lines, needs 1")
--- a/src/_coltsfootroad/replay/world.py
+++ b/src/_coltsfootroad/replay/world.py
@@ -1,8 +1,8 @@
-"""A fleet in virtual time: real decision code, small fake engines.
+"""A simulated fleet in virtual time, with production code and fake engines.
 
-Not a cluster simulator: one queue of timed calls joins real entry cores,
-the real control state and the stand-in engines, with delays, losses and
-cuts between them.
+One queue of scheduled calls connects entry cores, the control state and fake
+engines, with delays, losses and partitions between them. It does not simulate
+the processes and machines of a cluster.
 """
 
 import random
@@ -18,7 +18,7 @@
 
 @attrs.frozen(eq=False, kw_only=True)
 class World:
-    """The parts of a simulated fleet."""
+    """The components of a simulated fleet."""
 
     network: network_lib.Network
     control: simcontrol.SimControl
@@ -34,14 +34,14 @@
     report_every_s: float = simendpoints.REPORT_INTERVAL_S,
     plain_s: float = simendpoints.PLAIN_SERVICE_S,
 ) -> World:
-    """Return a fleet without entries and endpoints, its parts wired.
+    """Return a fleet without entries and endpoints.
 
     Args:
-        rng: Where all chance comes from.
+        rng: Source of all randomness.
         one_way_s: Delay between processes of the fleet.
         client_one_way_s: Delay between callers and entries.
         report_every_s: Seconds between two load reports of an endpoint.
-        plain_s: How long a plain service takes for a call.
+        plain_s: Seconds that a plain service takes for a call.
     """
     network = network_lib.Network(rng, one_way_s=one_way_s)
     control = simcontrol.SimControl(network)
--- a/src/_coltsfootroad/version.py
+++ b/src/_coltsfootroad/version.py
@@ -1,3 +1,3 @@
-"""Version of the package, as `--version` shows it."""
+"""Version of the package, which `--version` prints."""
 
 VERSION = "0.1.0"
--- a/src/coltsfootroad/__init__.py
+++ b/src/coltsfootroad/__init__.py
@@ -1,7 +1,7 @@
 """Coltsfootroad: a serving layer for prompts of very different lengths.
 
-The public face. Everything else lives in `_coltsfootroad` and may change
-without notice.
+This is the public interface. Everything else is in `_coltsfootroad` and may
+change without notice.
 """
 
 from _coltsfootroad.core.config import Config
