--- a/features/ablations.feature
+++ b/features/ablations.feature
@@ -1,4 +1,4 @@
-Feature: Each mechanism can be taken out of a copy, to measure its worth
+Feature: Each mechanism can be removed from a copy to measure its effect
 
-  Scenario: All changes fit the code as it is
-    Then each ablation changes a copy, and the copy still compiles
+  Scenario: All changes of the ablations fit the current code
+    Then each ablation changes a copy of the code, which still compiles
--- a/features/platform/decode.feature
+++ b/features/platform/decode.feature
@@ -1,16 +1,16 @@
-Feature: The platform's formats become the product's own types
+Feature: The platform's documents are decoded into internal types
 
-  Scenario: A configuration is decoded with its units
+  Scenario: A configuration is decoded and its units are converted
     When the platform's sample configuration is decoded
-    Then its routes, engine, keys and limits hold what the sample says
+    Then its routes, engine, API keys and limits match the sample
 
-  Scenario: A configuration that was cut short is refused
-    When the platform's sample configuration is cut in half
-    Then the platform is told cannot be read
+  Scenario: A truncated configuration is refused
+    When the platform's sample configuration is truncated to half its length
+    Then the configuration is refused with the words cannot be read
 
   Scenario Outline: A configuration whose <path> is <value> is refused
     When the platform's sample configuration has <path> as <value>
-    Then the platform is told <words>
+    Then the configuration is refused with the words <words>
 
     Examples:
       | path               | value  | words          |
@@ -30,11 +30,11 @@
       | draining | leaving |
       | odd      | refused |
 
-  Scenario: Signing off supersedes every heartbeat
-    Then signing off has a higher number than any heartbeat
+  Scenario: A sign-off supersedes every heartbeat
+    Then a sign-off has a higher sequence number than any heartbeat
 
-  Scenario Outline: A heartbeat whose <field> is <value> names no server
-    Then a heartbeat with <field> as <value> is refused for <words>
+  Scenario Outline: A heartbeat whose <field> is <value> is refused
+    Then a heartbeat with <field> as <value> is refused with the words <words>
 
     Examples:
       | field             | value           | words             |
@@ -66,16 +66,16 @@
       | born              | true            | $.born            |
       | born              | 0               | $.born            |
 
-  Scenario Outline: A server that says <born> is of start <start>
-    Then a heartbeat and a sign-off that state <born> are of start <start>
+  Scenario Outline: The start time <born> becomes the incarnation <incarnation>
+    Then a heartbeat and a sign-off with born as <born> have incarnation <incarnation>
 
     Examples:
-      | born          | start         |
+      | born          | incarnation   |
       | nothing       | 0             |
       | 1764720000000 | 1764720000000 |
 
-  Scenario Outline: Bytes that are no <what> are refused
-    Then <what> of any bytes is refused or read, and never breaks the program
+  Scenario Outline: Arbitrary bytes as <what> do not crash the decoder
+    Then <what> of arbitrary bytes is decoded or refused with a message
 
     Examples:
       | what            |
--- a/features/replay/batchengine.feature
+++ b/features/replay/batchengine.feature
@@ -1,6 +1,6 @@
-Feature: The engine of virtual time follows what operators state of theirs
+Feature: The simulated batch engine matches the operators' engines
 
-  Scenario Outline: An idle engine reads a prompt and writes its first event
+  Scenario Outline: Time to first event of <tokens> tokens in <parts> parts on an idle engine
     Given an engine that has <parts> parts of a prompt of <tokens> tokens to read
     Then its first event comes after <least> to <most> s
 
@@ -12,7 +12,7 @@
       | 210000    | 4     | 0.7   | 0.85 |
       | 450000    | 1     | 10.9  | 11.5 |
 
-  Scenario Outline: A prompt that is read beside a stream holds up its events
+  Scenario Outline: Prefill of <tokens> tokens delays the events of a concurrent stream
     Given an engine that writes a stream and gets a prompt of <tokens> tokens
     Then the stream's longest pause is <least> to <most> s
 
@@ -22,12 +22,12 @@
       | 45000  | 0.25  | 0.36 |
       | 210000 | 1.2   | 1.6  |
 
-  Scenario: Parts for other engines are read first
+  Scenario: Parts of split prompts for other engines are prefilled first
     Given an engine that reads a prompt of 45000 tokens
     When a part of another prompt comes
     Then the part is read before it
 
-  Scenario: A request over the batch waits until another has ended
+  Scenario: A request waits for a slot while the batch is full
     Given an engine whose batch is full of streams
     When one more request comes
     Then its first event comes after the first of them has ended
--- a/features/replay/replay.feature
+++ b/features/replay/replay.feature
@@ -1,4 +1,4 @@
-Feature: Recorded traces come out as stated
+Feature: Replays of recorded traces have the expected outcomes
 
   Scenario Outline: <trace> under <policy>
     When the trace "<trace>" is replayed under <policy>
@@ -18,11 +18,11 @@
       | all-together                 | short_slowdown   |
       | lavared-month-end            | short_slowdown   |
 
-  Scenario: A stated outcome that does not come out is reported
+  Scenario: An expected outcome that is not met is reported
     When the trace "lavared-month-end" states a slowdown of at most 1.1 for round_robin
     Then replaying it reports "short_slowdown_p95 is"
 
-  Scenario Outline: The trace line <line> is refused
+  Scenario Outline: The invalid trace line <line> is refused
     When a trace holds the line <line>
     Then reading it says "line 2" and "<words>"
 
--- a/features/steps/ablations_steps.py
+++ b/features/steps/ablations_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the changes that take mechanisms out."""
+"""Steps for the ablation benchmarks."""
 
 import pathlib
 import shutil
@@ -8,15 +8,15 @@
 from benchmarks import ablations
 
 
-@then("each ablation changes a copy, and the copy still compiles")
-def all_fit(context):
-    for found in ablations.ABLATIONS:
-        for change in found.changes:
+@then("each ablation changes a copy of the code, which still compiles")
+def ablations_fit(context):
+    for ablation in ablations.ABLATIONS:
+        for change in ablation.changes:
             target = context.folder / change.path
             target.parent.mkdir(parents=True, exist_ok=True)
             shutil.copy(pathlib.Path(change.path), target)
-        ablations.apply(context.folder, found)
-        for change in found.changes:
+        ablations.apply(context.folder, ablation)
+        for change in ablation.changes:
             changed = context.folder / change.path
             assert changed.read_text() != pathlib.Path(change.path).read_text()
             if changed.suffix == ".py":
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the platform adapter's features."""
+"""Steps for the platform adapter."""
 
 import json
 import pathlib
@@ -11,8 +11,8 @@
 
 from _coltsfootroad.core import routes
 
-# The adapter lies in a folder that shares its name with a standard module,
-# so it is not a package itself.
+# The adapter's folder has the name of a standard library module, so it is not a
+# package, and its path is added instead.
 sys.path.insert(0, str(pathlib.Path("platform").resolve()))
 FOLDER = pathlib.Path("features/platform")
 
@@ -21,12 +21,12 @@
 
 
 def sample() -> dict:
-    """Return a configuration as the operator sends it."""
+    """Return a configuration document as the operator sends it."""
     return json.loads((FOLDER / "sample.json").read_bytes())
 
 
 def change(document, path: str, value) -> None:
-    """Set the value at a path of keys and places, joined by dots."""
+    """Set the value at a path of keys and indices joined by dots."""
     *parents, last = path.split(".")
     for word in parents:
         document = document[int(word) if word.isdigit() else word]
@@ -34,18 +34,18 @@
 
 
 def decode(body: bytes):
-    """Decode and check a configuration as the adapter's handler does."""
+    """Decode and check a configuration like the adapter's handler."""
     decoded = configuration.decode(body)
     return decoded.bind(lambda c: routes.check(c).map(lambda _: c))
 
 
 @when("the platform's sample configuration is decoded")
-def decoded(context):
+def decode_sample(context):
     context.decoded = decode(json.dumps(sample()).encode())
 
 
-@then("its routes, engine, keys and limits hold what the sample says")
-def holds(context):
+@then("its routes, engine, API keys and limits match the sample")
+def matches_sample(context):
     config = context.decoded.ok
     stream, call = config.routes
     assert stream.kind is routes.RequestKind.STREAM
@@ -66,26 +66,26 @@
 
 
 @when("the platform's sample configuration has {path} as {value}")
-def faulty(context, path, value):
+def decode_changed_sample(context, path, value):
     document = sample()
     change(document, path, json.loads(value))
     context.decoded = decode(json.dumps(document).encode())
 
 
-@when("the platform's sample configuration is cut in half")
-def cut_short(context):
+@when("the platform's sample configuration is truncated to half its length")
+def decode_truncated_sample(context):
     body = json.dumps(sample()).encode()
     context.decoded = decode(body[: len(body) // 2])
 
 
-@then("the platform is told {words}")
-def refused(context, words):
+@then("the configuration is refused with the words {words}")
+def configuration_refused(context, words):
     assert context.decoded.is_error()
     assert words in context.decoded.error.message, context.decoded.error
 
 
 @then("the platform's heartbeat in state {state} is {meaning}")
-def heartbeat(context, state, meaning):
+def heartbeat_state(context, state, meaning):
     body = json.loads((FOLDER / "heartbeat.json").read_bytes())
     body["state"] = state
     found = instances.decode_heartbeat("i-1", json.dumps(body).encode())
@@ -95,8 +95,8 @@
         assert found.ok.state.value == meaning
 
 
-@then("signing off has a higher number than any heartbeat")
-def signing_off(context):
+@then("a sign-off has a higher sequence number than any heartbeat")
+def sign_off_supersedes(context):
     assert instances.decode_sign_off("i-1", b"").ok.seq > 2**53
 
 
@@ -109,21 +109,26 @@
     return json.dumps(body).encode()
 
 
-@then("a heartbeat with {field} as {value} is refused for {words}")
-def unreadable(context, field, value, words):
+@then("a heartbeat with {field} as {value} is refused with the words {words}")
+def heartbeat_refused(context, field, value, words):
     body = heartbeat_with(field, None if value == "missing" else value)
     found = instances.decode_heartbeat("i-1", body)
     assert found.is_error(), found
     assert words in found.error.message, found.error
 
 
-@then("a heartbeat and a sign-off that state {born} are of start {start}")
-def started(context, born, start):
-    stated = None if born == "nothing" else born
-    found = instances.decode_heartbeat("i-1", heartbeat_with("born", stated))
-    assert found.ok.incarnation == int(start), found
-    body = b"" if stated is None else f'{{"born": {born}}}'.encode()
-    assert instances.decode_sign_off("i-1", body).ok.incarnation == int(start)
+@then(
+    "a heartbeat and a sign-off with born as {born}"
+    " have incarnation {incarnation}"
+)
+def born_becomes_incarnation(context, born, incarnation):
+    value = None if born == "nothing" else born
+    found = instances.decode_heartbeat("i-1", heartbeat_with("born", value))
+    assert found.ok.incarnation == int(incarnation), found
+    body = b"" if value is None else f'{{"born": {born}}}'.encode()
+    assert instances.decode_sign_off("i-1", body).ok.incarnation == int(
+        incarnation
+    )
 
 
 DECODERS = {
@@ -146,23 +151,25 @@
 )
 
 
-@then("{what} of any bytes is refused or read, and never breaks the program")
-def any_bytes(context, what):
+@then("{what} of arbitrary bytes is decoded or refused with a message")
+def arbitrary_bytes(context, what):
     decoder = DECODERS[what]
-    known = json.loads((FOLDER / "heartbeat.json").read_bytes())
+    heartbeat = json.loads((FOLDER / "heartbeat.json").read_bytes())
 
     @hypothesis.settings(derandomize=True, database=None, deadline=None)
     @hypothesis.given(
         strategies.binary(max_size=60)
         | JSON_VALUES.map(lambda value: json.dumps(value).encode())
         | strategies.builds(
-            lambda field, value: json.dumps(known | {field: value}).encode(),
-            strategies.sampled_from([*known, "born"]),
+            lambda field, value: json.dumps(
+                heartbeat | {field: value}
+            ).encode(),
+            strategies.sampled_from([*heartbeat, "born"]),
             JSON_VALUES,
         )
     )
-    def holds(body):
+    def decodes_or_refuses(body):
         found = decoder(body)
         assert found.is_ok() or found.error.message
 
-    holds()
+    decodes_or_refuses()
