--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, run by `make bench`; no test depends on their figures."""
+"""Benchmarks, run by `make bench`; no test depends on their figures."""
--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -1,11 +1,12 @@
-"""Takes one mechanism out of a copy of the tree, to measure what it is worth.
+"""Removes one mechanism from a copy of the tree, to measure its effect.
 
     python -m benchmarks.ablations COPY NAME      changes the copy
-    python -m benchmarks.ablations --list         shows the names
+    python -m benchmarks.ablations --list         lists the names
 
-Each change is the smallest that puts the plain behaviour in a mechanism's place;
-`features/ablations.feature` holds that all of them still fit the code. They are
-kept out of the programs, which would have to ask at every step otherwise.
+Each change is the smallest that replaces a mechanism by the default behaviour.
+`features/ablations.feature` checks that all changes still fit the code. They are
+not options of the programs, because the programs would then have to check the
+options throughout their code.
 """
 
 import argparse
@@ -18,7 +19,7 @@
 
 @attrs.frozen
 class Change:
-    """A piece of text in a file and what stands in its place."""
+    """A text in a file and its replacement."""
 
     path: str
     before: str
@@ -27,117 +28,119 @@
 
 @attrs.frozen
 class Ablation:
-    """A mechanism and the changes that take it out."""
+    """A mechanism and the changes that remove it."""
 
     name: str
     text: str
     changes: tuple[Change, ...]
 
 
-def ablation(name: str, text: str, *changes: tuple[str, str, str]) -> Ablation:
-    """Return an ablation; paths are relative to the sources."""
+def make_ablation(
+    name: str, text: str, *changes: tuple[str, str, str]
+) -> Ablation:
+    """Return an ablation; paths are relative to the root of the tree."""
     return Ablation(name, text, tuple(Change(*change) for change in changes))
 
 
 ABLATIONS = (
-    ablation(
+    make_ablation(
         "splitting",
-        "prompts are read by one engine",
+        "each prompt is prefilled by one engine",
         (
             SOURCES + "core/spread.py",
             "MIN_SPLIT_TOKENS = 10_000",
             "MIN_SPLIT_TOKENS = 10**9",
         ),
     ),
-    ablation(
+    make_ablation(
         "harm",
-        "placement does not ask what other streams lose",
+        "placement ignores the value that other streams lose",
         (
             SOURCES + "core/enginestate.py",
             "        lost = 0.0\n",
             "        return 0.0\n",
         ),
     ),
-    ablation(
+    make_ablation(
         "ranks",
-        "engines serve all prompts in turn",
+        "engines serve prompts in the order of arrival",
         (
             SOURCES + "core/urgency.py",
             "    if waited_s + predicted_s > route",
             "    return RANKS[0][1]\n    if waited_s + predicted_s > route",
         ),
     ),
-    ablation(
+    make_ablation(
         "shedding",
-        "no short prompt is sent away because of a queue",
+        "no short prompt is shed because of the queue",
         (
             SOURCES + "core/shedding.py",
             "    if waiting <= share * places:",
             "    if waiting >= 0:",
         ),
     ),
-    ablation(
+    make_ablation(
         "telling work",
-        "gateways do not tell each other what they sent",
+        "gateways do not share what they sent",
         (
             SOURCES + "gateway/gossip.py",
             "        for member in members:",
             "        for member in ():",
         ),
     ),
-    ablation(
+    make_ablation(
         "start hold",
-        "a gateway that has just started refuses at once",
+        "a gateway that has just started refuses requests at once",
         (SOURCES + "gateway/startup.py", "HOLD_S = 1.5", "HOLD_S = 0.0"),
     ),
-    ablation(
+    make_ablation(
         "rests",
-        "an endpoint that failed is used like the others",
+        "a failed endpoint is not ejected",
         (
             SOURCES + "core/endpointset.py",
             "        known.rest_until = now + rest_s\n",
             "",
         ),
     ),
-    ablation(
+    make_ablation(
         "switching",
-        "a silent endpoint is waited for",
+        "requests do not fail over from an unresponsive endpoint",
         (
             SOURCES + "core/sends.py",
             "        return self.idempotent and self.runs + 1 < self.attempts",
             "        return False",
         ),
     ),
-    ablation(
+    make_ablation(
         "kept connections",
-        "each request opens a connection to its endpoint",
+        "each request opens a new connection to its endpoint",
         (
             SOURCES + "gateway/upstream.py",
             "        stream = self.take_idle() if reuse else None",
             "        stream = None",
         ),
     ),
-    ablation(
+    make_ablation(
         "early listener",
-        "callers are refused while the program starts",
+        "connections are refused while the program starts",
         (
             "deploy/gateway.json",
             '"listen_early": true',
             '"listen_early": false',
         ),
     ),
-    ablation(
+    make_ablation(
         "far gateways",
-        "callers get their own zone's gateways only",
+        "callers get only the gateways of their own zone",
         (
             SOURCES + "gateway/directory.py",
             "ENOUGH_NEAR = 4",
             "ENOUGH_NEAR = 1",
         ),
     ),
-    ablation(
+    make_ablation(
         "early votes",
-        "a replica that has just started waits a whole election pause",
+        "a replica that has just started waits a full election timeout",
         (
             SOURCES + "control/electiontimer.py",
             "            pause = self.rng.uniform(0.0, FIRST_PAUSE_MAX_S)",
@@ -153,30 +156,38 @@
 
 
 def by_name(name: str) -> Ablation:
-    """Return an ablation; raises KeyError."""
-    return {found.name: found for found in ABLATIONS}[name]
+    """Return an ablation by its name.
 
+    Raises:
+        KeyError: The name is unknown.
+    """
+    return {ablation.name: ablation for ablation in ABLATIONS}[name]
 
-def apply(tree: pathlib.Path, found: Ablation) -> None:
-    """Change a copy of the tree; raises ValueError where it does not fit."""
-    for change in found.changes:
+
+def apply(tree: pathlib.Path, ablation: Ablation) -> None:
+    """Apply an ablation to a copy of the tree.
+
+    Raises:
+        ValueError: A change does not fit the code.
+    """
+    for change in ablation.changes:
         path = tree / change.path
         text = path.read_text()
         if text.count(change.before) != 1:
-            raise ValueError(f"{found.name}: {change.path} has changed")
+            raise ValueError(f"{ablation.name}: {change.path} has changed")
         path.write_text(text.replace(change.before, change.after))
 
 
 def main() -> None:
-    """Change a copy, or show what can be taken out."""
+    """Change a copy, or list the ablations."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("copy", nargs="?", type=pathlib.Path)
     parser.add_argument("name", nargs="?", choices=[a.name for a in ABLATIONS])
     parser.add_argument("--list", action="store_true")
     arguments = parser.parse_args()
     if arguments.list or not arguments.name:
-        for found in ABLATIONS:
-            print(f"{found.name:18s} {found.text}")
+        for ablation in ABLATIONS:
+            print(f"{ablation.name:18s} {ablation.text}")
         return
     apply(arguments.copy, by_name(arguments.name))
 
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -1,8 +1,8 @@
-"""Measures what one choice among engines costs as their number grows.
+"""Measures the cost of one choice of an engine by the number of engines.
 
-`python -m benchmarks.choice` prints microseconds of processor time for each
-number of engines and length of a prompt, with works that change between two
-choices as often as they do when every engine carries as many requests.
+`python -m benchmarks.choice` prints microseconds of CPU time by number of
+engines and length of the prompt. Between two choices, work items change as
+often as they do in a fleet whose engines all have that many requests.
 """
 
 import random
@@ -20,18 +20,20 @@
 from _coltsfootroad.gateway import engines as engines_lib
 from benchmarks import mixes
 
-ENGINES = flags.DEFINE_list("engines", ["20", "112", "1000"], "Sizes.")
-ROUNDS = flags.DEFINE_integer("rounds", 200, "Choices of each size.")
-WORKS = flags.DEFINE_integer("works", 6, "Works at each engine.")
+ENGINES = flags.DEFINE_list(
+    "engines", ["20", "112", "1000"], "Numbers of engines."
+)
+ROUNDS = flags.DEFINE_integer("rounds", 200, "Choices per number of engines.")
+WORK_ITEMS = flags.DEFINE_integer("works", 6, "Mean work items per engine.")
 LENGTHS = (5_000, 45_000, 300_000)
 SPEC = mixes.spec(10, 450_000, 73)
 SERVICE = routes.ServiceSpec(name="s", engine=SPEC)
 
 
-def fleet(
+def make_engines(
     count: int, rng: random.Random
 ) -> tuple[endpointset.EndpointSet, workload.Workload]:
-    """Return engines with works of all lengths, one in five unread."""
+    """Return engines with work items, one in five of them in prefill."""
     endpoints, load = endpointset.EndpointSet(), workload.Workload()
     for number in range(count):
         name = f"e{number}"
@@ -40,13 +42,13 @@
                 endpoint=name, incarnation=1, seq=1, service="s"
             )
         )
-        for _ in range(rng.randrange(2 * WORKS.value + 1)):
-            load.add(work_of(name, rng))
+        for _ in range(rng.randrange(2 * WORK_ITEMS.value + 1)):
+            load.add(make_work_item(name, rng))
     return endpoints, load
 
 
-def work_of(name: str, rng: random.Random) -> work_lib.Work:
-    """Return a piece of work."""
+def make_work_item(name: str, rng: random.Random) -> work_lib.Work:
+    """Return a random work item."""
     return work_lib.Work(
         endpoint=name,
         prompt_tokens=rng.choice((5_000, 5_000, 5_000, 45_000)),
@@ -57,9 +59,9 @@
 
 
 def cost_us(count: int, tokens: int) -> float:
-    """Return the microseconds of one choice."""
+    """Return the mean CPU time of one choice in microseconds."""
     rng = random.Random(1)
-    endpoints, load = fleet(count, rng)
+    endpoints, load = make_engines(count, rng)
     chooser = engines_lib.Chooser(endpoints, load, "", rng)
     prompt = spread.Prompt(
         prompt_tokens=tokens,
@@ -67,20 +69,20 @@
         target_s=0.3 if tokens < 10_000 else 4.0,
         gap_target_s=0.25 if tokens < 10_000 else 1.0,
     )
-    spent = 0.0
+    spent_s = 0.0
     keys = sorted(load.own)
     for _ in range(ROUNDS.value):
-        # As many changes as engines: nearly every kept state is out of date.
+        # As many changes as engines, so that nearly every cached state is stale.
         for key in rng.sample(keys, min(count, len(keys))):
             load.touch(key)
-        began = time.process_time()
+        started = time.process_time()
         chooser.choose(SERVICE, prompt, set(), 10.0)
-        spent += time.process_time() - began
-    return 1e6 * spent / ROUNDS.value
+        spent_s += time.process_time() - started
+    return 1e6 * spent_s / ROUNDS.value
 
 
 def main(_: list[str]) -> None:
-    """Print the table."""
+    """Print the costs."""
     for count in ENGINES.value:
         costs = [f"{cost_us(int(count), t):8.0f}" for t in LENGTHS]
         print(f"{count:>6} engines", *costs, "us for", LENGTHS, flush=True)
--- a/benchmarks/mixes.py
+++ b/benchmarks/mixes.py
@@ -1,8 +1,8 @@
-"""Loads of prompts whose mix swings between long and short ones.
+"""Loads whose mix alternates between short and long prompts.
 
-The sizes, rates and aims are those that two deployments state, small and
-grown; every ten seconds one kind of prompt comes 2.4 to 2.8 times as often and
-the other a third or a twentieth as often.
+The sizes, rates and latency targets are those of two deployments, small and
+grown. In phases of ten seconds, the rate of one class of prompts is 2.4 to 2.8
+times its mean, and that of the other a third or a twentieth.
 """
 
 import attrs
@@ -11,8 +11,11 @@
 
 
 @attrs.frozen(kw_only=True)
-class Length:
-    """One class of prompts; sizes are drawn log-normally."""
+class PromptClass:
+    """One class of prompts with log-normal sizes.
+
+    `value` is the value of an answer in time, `late_value` that of a late one.
+    """
 
     name: str
     per_s: float
@@ -30,17 +33,20 @@
 
 @attrs.frozen(kw_only=True)
 class Load:
-    """A deployment, its mix, and how often each class comes in each phase."""
+    """A deployment and its prompts.
+
+    Each phase has a duration in seconds and a rate factor for each class.
+    """
 
     name: str
     engines: int
     spec: routes.EngineSpec
-    lengths: tuple[Length, ...]
+    prompt_classes: tuple[PromptClass, ...]
     phases: tuple[tuple[float, tuple[float, ...]], ...]
 
 
 def spec(slots: int, kv_tokens: int, stride: int) -> routes.EngineSpec:
-    """Return an engine with the speeds that both deployments state."""
+    """Return an engine with the speeds of both deployments."""
     return routes.EngineSpec(
         slots=slots,
         kv_tokens=kv_tokens,
@@ -55,10 +61,10 @@
     )
 
 
-def lengths(rates, longest, values, late) -> tuple[Length, ...]:
+def prompt_classes(rates, longest, values, late) -> tuple[PromptClass, ...]:
     """Return the three classes of a deployment."""
     return (
-        Length(
+        PromptClass(
             name="short",
             per_s=rates[0],
             prompt=4_960,
@@ -72,7 +78,7 @@
             value=values[0],
             late_value=late[0],
         ),
-        Length(
+        PromptClass(
             name="middle",
             per_s=rates[1],
             prompt=45_000,
@@ -86,7 +92,7 @@
             value=values[1],
             late_value=late[1],
         ),
-        Length(
+        PromptClass(
             name="long",
             per_s=rates[2],
             prompt=longest[0],
@@ -103,16 +109,16 @@
     )
 
 
-SMALL = lengths(
+SMALL = prompt_classes(
     (15.4, 1.12, 0.462), (210_000, 3.0), (1.3, 3.1, 22.0), (0.33, 0.79, 5.4)
 )
-GROWN = lengths(
+GROWN = prompt_classes(
     (38.3, 3.51, 1.04), (300_000, 4.0), (1.4, 2.6, 30.0), (0.34, 0.66, 7.5)
 )
 LARGE = tuple(
-    attrs.evolve(length, events=events, gap_s=gap_s)
-    for length, events, gap_s in zip(
-        lengths(
+    attrs.evolve(prompt_class, events=events, gap_s=gap_s)
+    for prompt_class, events, gap_s in zip(
+        prompt_classes(
             (80.9, 8.64, 1.98),
             (300_000, 4.0),
             (1.4, 2.3, 26.0),
@@ -123,20 +129,23 @@
         strict=True,
     )
 )
-HUGE = tuple(attrs.evolve(one, per_s=9.0 * one.per_s) for one in LARGE)
-# How often each class comes, short, middle and long, against its mean.
+HUGE = tuple(
+    attrs.evolve(prompt_class, per_s=9.0 * prompt_class.per_s)
+    for prompt_class in LARGE
+)
+# Rate factors of the short, middle and long class.
 SHORT_HEAVY = (2.45, 0.5, 0.05)
 LONG_HEAVY = (0.34, 1.3, 2.7)
 EVEN = (1.0, 1.0, 1.0)
-# Seconds of each phase, and the mix in it.
-SWING = (
+# Seconds and rate factors of each phase.
+SHORT_FIRST_PHASES = (
     (2.0, EVEN),
     (10.0, SHORT_HEAVY),
     (10.5, LONG_HEAVY),
     (10.0, SHORT_HEAVY),
     (3.0, EVEN),
 )
-SWING_BACK = (
+LONG_FIRST_PHASES = (
     (2.0, EVEN),
     (10.0, LONG_HEAVY),
     (10.5, SHORT_HEAVY),
@@ -145,8 +154,8 @@
 )
 
 
-def heavier(phases, factor: float):
-    """Return phases with more of everything."""
+def scale_phases(phases, factor: float):
+    """Return phases with all rates multiplied by a factor."""
     return tuple((s, tuple(factor * x for x in xs)) for s, xs in phases)
 
 
@@ -155,84 +164,84 @@
         name="small",
         engines=14,
         spec=spec(8, 450_000, 46),
-        lengths=SMALL,
-        phases=SWING,
+        prompt_classes=SMALL,
+        phases=SHORT_FIRST_PHASES,
     ),
     Load(
         name="small-back",
         engines=14,
         spec=spec(8, 450_000, 46),
-        lengths=SMALL,
-        phases=SWING_BACK,
+        prompt_classes=SMALL,
+        phases=LONG_FIRST_PHASES,
     ),
     Load(
         name="small-busy",
         engines=11,
         spec=spec(8, 450_000, 46),
-        lengths=SMALL,
-        phases=heavier(SWING_BACK, 1.25),
+        prompt_classes=SMALL,
+        phases=scale_phases(LONG_FIRST_PHASES, 1.25),
     ),
     Load(
         name="grown",
         engines=45,
         spec=spec(6, 382_500, 52),
-        lengths=GROWN,
-        phases=SWING,
+        prompt_classes=GROWN,
+        phases=SHORT_FIRST_PHASES,
     ),
     Load(
         name="grown-back",
         engines=45,
         spec=spec(6, 382_500, 52),
-        lengths=GROWN,
-        phases=SWING_BACK,
+        prompt_classes=GROWN,
+        phases=LONG_FIRST_PHASES,
     ),
     Load(
         name="grown-lost",
         engines=36,
         spec=spec(6, 382_500, 52),
-        lengths=GROWN,
-        phases=SWING,
+        prompt_classes=GROWN,
+        phases=SHORT_FIRST_PHASES,
     ),
     Load(
         name="grown-busy",
         engines=38,
         spec=spec(6, 382_500, 52),
-        lengths=GROWN,
-        phases=heavier(SWING_BACK, 1.25),
+        prompt_classes=GROWN,
+        phases=scale_phases(LONG_FIRST_PHASES, 1.25),
     ),
     Load(
         name="large",
         engines=112,
         spec=spec(5, 450_000, 73),
-        lengths=LARGE,
-        phases=SWING,
+        prompt_classes=LARGE,
+        phases=SHORT_FIRST_PHASES,
     ),
     Load(
         name="large-back",
         engines=112,
         spec=spec(5, 450_000, 73),
-        lengths=LARGE,
-        phases=SWING_BACK,
+        prompt_classes=LARGE,
+        phases=LONG_FIRST_PHASES,
     ),
     Load(
         name="large-busy",
         engines=112,
         spec=spec(5, 450_000, 73),
-        lengths=LARGE,
-        phases=heavier(SWING, 1.7),
+        prompt_classes=LARGE,
+        phases=scale_phases(SHORT_FIRST_PHASES, 1.7),
     ),
     Load(
         name="huge",
         engines=1_000,
         spec=spec(5, 450_000, 73),
-        lengths=HUGE,
-        phases=SWING,
+        prompt_classes=HUGE,
+        phases=SHORT_FIRST_PHASES,
     ),
     Load(
         name="huge-busy",
         engines=1_000,
         spec=spec(5, 450_000, 73),
-        lengths=HUGE,
-        phases=heavier(SWING, 1.7),
+        prompt_classes=HUGE,
+        phases=scale_phases(SHORT_FIRST_PHASES, 1.7),
     ),
 )
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,8 +1,8 @@
-"""Compares ways to place prompts on engines that work in passes.
+"""Simulates the placement of prompts on engines with continuous batching.
 
-`python -m benchmarks.placement` plays a mix that swings between long and
-short prompts, as callers of both deployments do, and prints by length class
-the share of what callers gain by answers in time.
+`python -m benchmarks.placement` runs loads whose mix alternates between long and
+short prompts. It prints, in total and by prompt class, the received share of
+the value that answers in time would have had.
 """
 
 import heapq
@@ -28,22 +28,27 @@
 from benchmarks import mixes
 from benchmarks import views as views_lib
 
-PLAYS = flags.DEFINE_integer("plays", 4, "Plays of each load.")
-LOADS = flags.DEFINE_list("loads", [], "Loads to play; all if none.")
-CUT_S = flags.DEFINE_float("cut_s", 60.0, "Arrivals after this are cut.")
-IN_USE = flags.DEFINE_integer("in_use", 1, "Gateways in use.")
-FULL = flags.DEFINE_bool("full", False, "Compare all engines.")
-# Bounds that no load reaches.
-EVERYTHING = candidates.Limits(
+PLAYS = flags.DEFINE_integer("plays", 4, "Runs of each load.")
+LOADS = flags.DEFINE_list("loads", [], "Loads to run; all if empty.")
+CUT_S = flags.DEFINE_float(
+    "cut_s", 60.0, "Arrivals after this time are ignored."
+)
+GATEWAYS = flags.DEFINE_integer("in_use", 1, "Number of gateways in rotation.")
+FULL = flags.DEFINE_bool(
+    "full", False, "Compare all engines instead of a sample."
+)
+# Limits that no load reaches.
+UNLIMITED = candidates.Limits(
     drawn=10**6,
     long=candidates.Places(idle=10**6, writing=0, reading=0),
     short=candidates.Places(idle=10**6, writing=0, reading=0),
 )
-# The value of one prompt grows with its size up to this many times the mean.
+# Maximum value of a prompt, relative to the mean of its class; the value grows
+# with the size.
 MAX_SIZE_VALUE = 4.0
-# Played on after the last arrival, beyond the longest deadline.
+# Simulated time after the last arrival, longer than the longest deadline.
 DRAIN_S = 20.0
-# Callers try once more after a refusal.
+# Callers retry once after a refusal.
 MAX_TRIES = 2
 SERVICE = "engines"
 ZONES = 3
@@ -51,77 +56,90 @@
 
 @attrs.define(eq=False)
 class Arrival:
-    """A request, when it comes, and what became of it."""
+    """A request with its arrival time and its state."""
 
     at: float
-    length: mixes.Length
+    prompt_class: mixes.PromptClass
     job: batchengine.Job
     weight: float
     gateway: int = 0
-    works: dict[int, work_lib.Work] = attrs.Factory(dict)
+    work_items: dict[int, work_lib.Work] = attrs.Factory(dict)
     parts: int = 1
     tries: int = 0
     predicted_s: float = 0.0
 
     def route(self) -> routes.Route:
-        """Return the route that a request of this class takes."""
+        """Return the route of the request's class."""
         return routes.Route(
-            name=self.length.name,
+            name=self.prompt_class.name,
             host="",
             prefix="/",
             kind=routes.RequestKind.STREAM,
-            timeout_s=self.length.deadline_s,
+            timeout_s=self.prompt_class.deadline_s,
             splits=(),
-            target_s=self.length.target_s,
-            gap_target_s=self.length.gap_s,
+            target_s=self.prompt_class.target_s,
+            gap_target_s=self.prompt_class.gap_s,
         )
 
-    def gained(self) -> float:
-        """Return the value that the caller got."""
+    def value_received(self) -> float:
+        """Return the value that the caller received."""
         times = self.job.event_times
-        if not self.job.done or times[-1] > self.at + self.length.deadline_s:
+        if (
+            not self.job.done
+            or times[-1] > self.at + self.prompt_class.deadline_s
+        ):
             return 0.0
         gaps = numpy.diff([self.at, *times])
         if gaps.max() > patience.caller_patience_s(self.route()):
             return 0.0
-        late = times[0] - self.at > self.length.target_s
-        late = late or (len(gaps) > 1 and gaps[1:].max() > self.length.gap_s)
+        late = times[0] - self.at > self.prompt_class.target_s
+        late = late or (
+            len(gaps) > 1 and gaps[1:].max() > self.prompt_class.gap_s
+        )
         return self.weight * (
-            self.length.late_value if late else self.length.value
+            self.prompt_class.late_value if late else self.prompt_class.value
         )
 
 
-def draw(load: mixes.Load, seed: int) -> list[Arrival]:
-    """Return the arrivals of one play in order of time."""
+def sample_arrivals(load: mixes.Load, seed: int) -> list[Arrival]:
+    """Return the arrivals of one run in the order of time."""
     rng = numpy.random.default_rng(seed)
     found = []
     start = 0.0
     for seconds, factors in load.phases:
-        for length, factor in zip(load.lengths, factors, strict=True):
-            count = rng.poisson(length.per_s * factor * seconds)
+        for prompt_class, factor in zip(
+            load.prompt_classes, factors, strict=True
+        ):
+            count = rng.poisson(prompt_class.per_s * factor * seconds)
             for at in start + seconds * rng.random(count):
-                found.append(draw_one(rng, load, length, at))
+                found.append(sample_arrival(rng, load, prompt_class, at))
         start += seconds
     return sorted(found, key=lambda arrival: arrival.at)
 
 
-def draw_one(rng, load, length, at) -> Arrival:
-    """Return one arrival of a class."""
+def sample_arrival(rng, load, prompt_class, at) -> Arrival:
+    """Return one arrival of a prompt class."""
 
     def size(mean, sigma, most):
         drawn = mean * numpy.exp(sigma * rng.normal() - sigma**2 / 2)
         return int(max(1, min(most, drawn)))
 
-    prompt = size(length.prompt, length.prompt_spread, length.prompt_max)
-    events = size(length.events, length.events_spread, 2.5 * length.events)
+    prompt = size(
+        prompt_class.prompt, prompt_class.prompt_spread, prompt_class.prompt_max
+    )
+    events = size(
+        prompt_class.events,
+        prompt_class.events_spread,
+        2.5 * prompt_class.events,
+    )
     output = events * load.spec.stride
-    mean = length.prompt + 10 * length.events * load.spec.stride
+    mean = prompt_class.prompt + 10 * prompt_class.events * load.spec.stride
     weight = min(MAX_SIZE_VALUE, 0.3 + 0.7 * (prompt + 10 * output) / mean)
-    return Arrival(at, length, batchengine.Job(prompt, output), weight)
+    return Arrival(at, prompt_class, batchengine.Job(prompt, output), weight)
 
 
-def announcement(name: str, zone: str) -> registry.Announcement:
-    """Return what an engine says of itself."""
+def make_announcement(name: str, zone: str) -> registry.Announcement:
+    """Return the announcement of an engine."""
     return registry.Announcement(
         endpoint=name,
         incarnation=1,
@@ -132,13 +150,13 @@
 
 
 @attrs.define(eq=False)
-class Play:
-    """One load played against the choices of some gateways."""
+class Simulation:
+    """A simulation of one load with the placement of some gateways."""
 
     load: mixes.Load
     rng: random.Random
     gateways: int = 1
-    views: views_lib.Views = attrs.field(init=False)
+    views: views_lib.GatewayViews = attrs.field(init=False)
     keys: itertools.count = attrs.Factory(itertools.count)
     endpoints: endpointset.EndpointSet = attrs.Factory(endpointset.EndpointSet)
     limits: candidates.Limits = candidates.USUAL
@@ -146,92 +164,97 @@
     service: routes.ServiceSpec = attrs.field(init=False)
     engines: list[batchengine.BatchEngine] = attrs.Factory(list)
     running: dict[int, Arrival] = attrs.Factory(dict)
-    due: list[tuple[float, int]] = attrs.Factory(list)
-    busy: set[int] = attrs.Factory(set)
+    next_passes: list[tuple[float, int]] = attrs.Factory(list)
+    busy_engines: set[int] = attrs.Factory(set)
 
     def __attrs_post_init__(self):
-        for place in range(self.load.engines):
-            zone = f"zone-{place % ZONES}"
-            self.endpoints.learn(announcement(str(place), zone))
+        for index in range(self.load.engines):
+            zone = f"zone-{index % ZONES}"
+            self.endpoints.learn(make_announcement(str(index), zone))
         self.service = routes.ServiceSpec(name=SERVICE, engine=self.load.spec)
-        self.views = views_lib.Views(self.gateways)
+        self.views = views_lib.GatewayViews(self.gateways)
         self.choosers = [
             engines_lib.Chooser(
                 self.endpoints,
                 load,
-                f"zone-{place % ZONES}",
+                f"zone-{index % ZONES}",
                 self.rng,
                 self.limits,
             )
-            for place, load in enumerate(self.views.loads)
+            for index, load in enumerate(self.views.loads)
         ]
 
     def run(self, arrivals: list[Arrival]) -> None:
-        """Play all arrivals to their ends."""
+        """Simulate all arrivals until they end."""
         self.engines = [
             batchengine.BatchEngine(self.load.spec)
             for _ in range(self.load.engines)
         ]
         for arrival in arrivals:
             arrival.gateway = self.rng.randrange(self.gateways)
-        waiting = [(a.at, n, a) for n, a in enumerate(arrivals)]
-        heapq.heapify(waiting)
-        while waiting:
-            at, number, arrival = heapq.heappop(waiting)
+        arrival_queue = [(a.at, n, a) for n, a in enumerate(arrivals)]
+        heapq.heapify(arrival_queue)
+        while arrival_queue:
+            at, number, arrival = heapq.heappop(arrival_queue)
             self.advance(at)
-            again_s = self.send(arrival, at)
+            retry_delay_s = self.send(arrival, at)
             arrival.tries += 1
-            if again_s is not None and arrival.tries < MAX_TRIES:
-                heapq.heappush(waiting, (at + again_s, number, arrival))
+            if retry_delay_s is not None and arrival.tries < MAX_TRIES:
+                heapq.heappush(
+                    arrival_queue, (at + retry_delay_s, number, arrival)
+                )
         self.advance(arrivals[-1].at + DRAIN_S)
 
     def advance(self, until: float) -> None:
-        """Run the passes that begin before a time."""
-        while self.due and self.due[0][0] <= until:
-            at, place = heapq.heappop(self.due)
-            engine = self.engines[place]
+        """Run the passes that start up to a time."""
+        while self.next_passes and self.next_passes[0][0] <= until:
+            at, index = heapq.heappop(self.next_passes)
+            engine = self.engines[index]
             if engine.is_idle:
-                self.busy.discard(place)
+                self.busy_engines.discard(index)
                 continue
-            before = [j for j in engine.active if not j.pending_parts]
+            decoding_jobs = [j for j in engine.active if not j.pending_parts]
             end = engine.run_pass(at)
-            for job in before:
-                self.note(job, end)
-            heapq.heappush(self.due, (end, place))
+            for job in decoding_jobs:
+                self.record_event(job, end)
+            heapq.heappush(self.next_passes, (end, index))
 
-    def note(self, job: batchengine.Job, at: float) -> None:
-        """Note an event as gateways do."""
+    def record_event(self, job: batchengine.Job, at: float) -> None:
+        """Update the work items of a request after one of its events."""
         arrival = self.running.get(id(job))
         if arrival is None:
             return
         if job.done:
             del self.running[id(job)]
         times = job.event_times
-        late = len(times) > 1 and times[-1] - times[-2] > arrival.length.gap_s
-        for key, work in arrival.works.items():
+        late = (
+            len(times) > 1
+            and times[-1] - times[-2] > arrival.prompt_class.gap_s
+        )
+        for key, work in arrival.work_items.items():
             changed = attrs.evolve(work, writing=True)
             if late and work.leads:
                 changed.gap_target_s = 0.0
             if job.done:
-                self.tell(arrival, key, None, at)
+                self.publish(arrival, key, None, at)
             elif changed != work:
-                arrival.works[key] = changed
-                self.tell(arrival, key, changed, at)
+                arrival.work_items[key] = changed
+                self.publish(arrival, key, changed, at)
 
-    def tell(self, arrival, key, work, at, lag_s=views_lib.LATER_LAG_S):
-        """Let the gateways know of a change."""
+    def publish(self, arrival, key, work, at, lag_s=views_lib.UPDATE_LAG_S):
+        """Publish a change of a work item to the gateways."""
         change = views_lib.Change(arrival.gateway, key, work, lag_s)
-        self.views.tell(at, change)
+        self.views.publish(at, change)
 
     def send(self, arrival: Arrival, now: float) -> float | None:
-        """Place one request and send it, or say when to come back."""
+        """Place and send a request; return the retry delay if it is shed."""
         prompt = spread.Prompt(
             prompt_tokens=arrival.job.prompt_tokens,
             output_tokens=arrival.job.output_tokens,
-            target_s=arrival.length.target_s,
-            gap_target_s=arrival.length.gap_s,
+            target_s=arrival.prompt_class.target_s,
+            gap_target_s=arrival.prompt_class.gap_s,
         )
-        self.views.catch_up(now)
+        self.views.apply_due(now)
         chooser = self.choosers[arrival.gateway]
         choice = chooser.choose(self.service, prompt, set(), now)
         candidate = shedding.Candidate(
@@ -240,11 +263,11 @@
             target_s=prompt.target_s,
             returned=arrival.tries > 0,
         )
-        again_s = shedding.come_back_s(
+        retry_delay_s = shedding.come_back_s(
             candidate, choice.late_waiting, choice.places, self.rng
         )
-        if again_s is not None:
-            return again_s
+        if retry_delay_s is not None:
+            return retry_delay_s
         arrival.predicted_s = choice.predicted_s
         arrival.parts = 1 + len(choice.helpers)
         job = arrival.job
@@ -253,20 +276,22 @@
             arrival.route(), now - arrival.at, choice.predicted_s
         )
         late = job.rank == urgency.LATE_RANK
-        for number, known in enumerate((choice.endpoint, *choice.helpers)):
-            self.begin(arrival, prompt, int(known.name), number == 0, late, now)
+        for number, endpoint in enumerate((choice.endpoint, *choice.helpers)):
+            self.send_part(
+                arrival, prompt, int(endpoint.name), number == 0, late, now
+            )
         self.running[id(job)] = arrival
         return None
 
-    def begin(self, arrival, prompt, place, leads, late, now) -> None:
-        """Send a request, or a part of it, to one engine."""
-        engine = self.engines[place]
+    def send_part(self, arrival, prompt, index, leads, late, now) -> None:
+        """Send a request, or a part of its prompt, to one engine."""
+        engine = self.engines[index]
         if leads:
             engine.submit(arrival.job, arrival.parts)
         else:
             engine.submit_part(arrival.job, arrival.parts)
         work = work_lib.Work(
-            endpoint=str(place),
+            endpoint=str(index),
             prompt_tokens=prompt.prompt_tokens,
             output_tokens=prompt.output_tokens,
             parts=arrival.parts,
@@ -277,11 +302,11 @@
             late=late,
         )
         key = next(self.keys)
-        arrival.works[key] = work
-        self.tell(arrival, key, work, now, views_lib.BEGIN_LAG_S)
-        if place not in self.busy:
-            self.busy.add(place)
-            heapq.heappush(self.due, (now, place))
+        arrival.work_items[key] = work
+        self.publish(arrival, key, work, now, views_lib.BEGIN_LAG_S)
+        if index not in self.busy_engines:
+            self.busy_engines.add(index)
+            heapq.heappush(self.next_passes, (now, index))
 
 
 def gains(
@@ -291,30 +316,40 @@
     cut_s: float = float("inf"),
     gateways: int = 1,
 ) -> dict[str, float]:
-    """Return what callers gained of what they could, whole and by class."""
-    sums = {name: [0.0, 0.0] for name in ("whole", *names_of(load))}
+    """Return the received share of the possible value, in total and by class.
+
+    The key of the total is `whole`.
+    """
+    sums = {name: [0.0, 0.0] for name in ("whole", *class_names(load))}
     for seed in range(seeds):
-        arrivals = [a for a in draw(load, seed) if a.at < cut_s]
-        play = Play(load, random.Random(seed), gateways, limits=limits)
-        play.run(arrivals)
+        arrivals = [a for a in sample_arrivals(load, seed) if a.at < cut_s]
+        simulation = Simulation(
+            load, random.Random(seed), gateways, limits=limits
+        )
+        simulation.run(arrivals)
         for arrival in arrivals:
-            for name in ("whole", arrival.length.name):
-                sums[name][0] += arrival.gained()
-                sums[name][1] += arrival.weight * arrival.length.value
-    return {name: got / max(1e-9, owed) for name, (got, owed) in sums.items()}
+            for name in ("whole", arrival.prompt_class.name):
+                sums[name][0] += arrival.value_received()
+                sums[name][1] += arrival.weight * arrival.prompt_class.value
+    return {
+        name: received / max(1e-9, possible)
+        for name, (received, possible) in sums.items()
+    }
 
 
-def names_of(load: mixes.Load) -> tuple[str, ...]:
-    """Return the names of a load's classes."""
-    return tuple(length.name for length in load.lengths)
+def class_names(load: mixes.Load) -> tuple[str, ...]:
+    """Return the names of a load's prompt classes."""
+    return tuple(prompt_class.name for prompt_class in load.prompt_classes)
 
 
 def main(_: list[str]) -> None:
-    """Play the loads."""
-    limits = EVERYTHING if FULL.value else candidates.USUAL
+    """Run the selected loads and print the results."""
+    limits = UNLIMITED if FULL.value else candidates.USUAL
     for load in mixes.ALL_LOADS:
         if not LOADS.value or load.name in LOADS.value:
-            found = gains(load, PLAYS.value, limits, CUT_S.value, IN_USE.value)
+            found = gains(
+                load, PLAYS.value, limits, CUT_S.value, GATEWAYS.value
+            )
             words = [f"{name} {share:.3f}" for name, share in found.items()]
             print(f"{load.name:12}", *words, flush=True)
 
--- a/benchmarks/poisons.py
+++ b/benchmarks/poisons.py
@@ -1,7 +1,7 @@
-"""Plays poison requests beside popular ones, and counts whom the quarantine refuses.
+"""Simulates poison requests among popular ones and counts quarantined requests.
 
-Usage: python -m benchmarks.poisons [--seeds N]. Emulated gateways and a leader
-in virtual time; one line a pattern.
+Usage: python -m benchmarks.poisons [--seeds N]. Simulates gateways and a leader
+in virtual time; prints one line per pattern.
 """
 
 import collections
@@ -15,14 +15,17 @@
 from features.support import crashhistories
 from features.support import crashworld
 
-SEEDS = flags.DEFINE_integer("seeds", 4, "Plays of each pattern.")
-JOBS = flags.DEFINE_integer("jobs", 4, "Processes.")
+SEEDS = flags.DEFINE_integer("seeds", 4, "Runs of each pattern.")
+JOBS = flags.DEFINE_integer("jobs", 4, "Number of processes.")
 RESTART_S = 1.0
 
 
 @attrs.frozen
 class Pattern:
-    """Poison requests, each so often, beside popular ones."""
+    """Rates of poison requests and number of popular ones.
+
+    `every_s` is the time between two sends of the same poison request.
+    """
 
     gateways: int
     engines: int
@@ -45,7 +48,7 @@
     Pattern(3, 6, 10, 0.5, 3),
     Pattern(9, 16, 3, 0.2, 3),
 )
-# No engine lives for 0.1 s.
+# Poison requests so frequent that no engine survives for 0.1 s.
 STORMS = tuple(
     Pattern(3, engines, poisons, poisons * 0.022, 3)
     for engines in (4, 5)
@@ -54,8 +57,8 @@
 
 
 @attrs.frozen
-class Play:
-    """What one play came to."""
+class PlayResult:
+    """The result of one run."""
 
     wrong: int
     refused: int
@@ -65,8 +68,8 @@
     served: float
 
 
-def play(pattern: Pattern, seed: int) -> Play:
-    """Play a pattern."""
+def play(pattern: Pattern, seed: int) -> PlayResult:
+    """Run a pattern."""
     with (
         mock.patch.object(crashworld, "RESTART_S", RESTART_S),
         crashworld.fleet(pattern.gateways, pattern.engines, seed) as bed,
@@ -80,7 +83,7 @@
             crashworld.fingerprint(body, kind)
             for body, kind in world.poisons.items()
         }
-        return Play(
+        return PlayResult(
             wrong=len(entries - poisons),
             refused=world.proper["ended in quarantine"],
             late=max(len(world.late_sends(body)) for body in world.poisons),
@@ -90,36 +93,36 @@
         )
 
 
-def report(name: str, plays: list[Play]) -> None:
-    """Print what the plays of a pattern came to."""
+def report(name: str, results: list[PlayResult]) -> None:
+    """Print the results of the runs of a pattern."""
     total = collections.Counter()
-    for each in plays:
-        total["wrong"] += bool(each.wrong or each.refused)
-        total["refused"] += each.refused
-        total["ended"] += each.ended
-    late = max(each.late for each in plays)
-    served = sum(each.served for each in plays) / len(plays)
+    for play_result in results:
+        total["wrong"] += bool(play_result.wrong or play_result.refused)
+        total["refused"] += play_result.refused
+        total["ended"] += play_result.ended
+    late = max(play_result.late for play_result in results)
+    served = sum(play_result.served for play_result in results) / len(results)
     print(
-        f"{name}: proper requests taken for poison in {total['wrong']} of"
-        f" {len(plays)} plays ({total['refused']} refused); at most {late} late"
-        f" sends; {total['ended'] / len(plays):.1f} engines ended a play;"
-        f" {served:.3f} served; {[each.found for each in plays]} found",
+        f"{name}: proper requests quarantined in {total['wrong']} of"
+        f" {len(results)} runs ({total['refused']} refused); at most {late} late"
+        f" sends; {total['ended'] / len(results):.1f} engines ended per run;"
+        f" {served:.3f} served; {[play_result.found for play_result in results]} found",
         flush=True,
     )
 
 
 def main(_: list[str]) -> None:
-    """Play all patterns."""
+    """Run all patterns."""
     seeds = range(SEEDS.value)
     with concurrent.futures.ProcessPoolExecutor(JOBS.value) as pool:
         for name, patterns in (("calm", CALM), ("storms", STORMS)):
-            everything = []
+            all_results = []
             for pattern in patterns:
                 futures = [pool.submit(play, pattern, seed) for seed in seeds]
-                plays = [future.result() for future in futures]
-                report(str(pattern), plays)
-                everything += plays
-            report(name, everything)
+                results = [future.result() for future in futures]
+                report(str(pattern), results)
+                all_results += results
+            report(name, all_results)
 
 
 if __name__ == "__main__":
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -1,4 +1,4 @@
-"""Measures this machine; prints one line per figure. `make bench`."""
+"""Runs the benchmarks on this machine; prints one line per figure."""
 
 import asyncio
 import json
@@ -34,17 +34,17 @@
 REQUESTS = 300
 IDLE_S = 5.0
 COMMANDS = 2_000
-# Workspaces that one entry sees requests of at the same time.
+# Workspaces with concurrent requests at one entry.
 BUSY_WORKSPACES = 10
 
 
-def say(name: str, value: object) -> None:
+def print_figure(name: str, value: object) -> None:
     """Print one figure."""
     print(f"{name}: {value}", flush=True)
 
 
-def micros(call, repeats: int = REPEATS) -> float:
-    """Return the mean processor time of a call in microseconds."""
+def mean_cost_us(call, repeats: int = REPEATS) -> float:
+    """Return the mean CPU time of a call in microseconds."""
     started = time.process_time()
     for _ in range(repeats):
         call()
@@ -76,7 +76,7 @@
 
 
 def decision_cost() -> None:
-    """Measure one routing decision against the number of endpoints."""
+    """Measure a routing decision by the number of endpoints."""
     request = request_lib.Request(
         request_id="r",
         workspace="w",
@@ -90,17 +90,17 @@
         pool = make_pool(count)
         for name, band in (("short", 0), ("long", 2)):
             policy = policies.ShortSlowdown()
-            cost = micros(
+            cost = mean_cost_us(
                 lambda p=policy, b=band, q=pool: p.choose(request, b, q, 0.0)
             )
-            say(f"decision_us[{name}, {count} endpoints]", cost)
+            print_figure(f"decision_us[{name}, {count} endpoints]", cost)
 
 
 # --- control -------------------------------------------------------------------
 
 
 def make_hub(entries: int, servers: int, workspaces: int) -> hub_lib.Hub:
-    """Return a hub that knows a fleet."""
+    """Return a coordinator that knows a fleet."""
     state = state_lib.ControlState()
     document = {
         "services": {"assistant": {}},
@@ -151,7 +151,7 @@
 
 
 def heartbeat_cost() -> None:
-    """Measure a heartbeat against entries, servers and workspaces."""
+    """Measure a heartbeat by entries, servers and workspaces."""
     for entries, servers, workspaces in (
         (9, 17, 10),
         (9, 170, 10),
@@ -166,12 +166,12 @@
 
 
 def measure_heartbeat(hub, label, servers, entries, workspaces) -> None:
-    """Measure one entry's heartbeat in a second of reports."""
+    """Measure one entry's heartbeat with one second of load reports."""
     share = max(1, servers // entries)
     sequence = [1]
     sizes = []
 
-    def beat() -> None:
+    def exchange_heartbeat() -> None:
         sequence[0] += 1
         for number in range(servers):
             load = make_load(number, sequence[0])
@@ -194,13 +194,13 @@
         wirecalls.CALLS.decode(answer)
         sizes[:] = [len(data), len(answer)]
 
-    cost = micros(beat, 30)
-    say(f"heartbeat_us[{label}]", cost)
-    say(f"heartbeat_bytes[{label}]", f"{sizes[0]} up, {sizes[1]} down")
+    cost = mean_cost_us(exchange_heartbeat, 30)
+    print_figure(f"heartbeat_us[{label}]", cost)
+    print_figure(f"heartbeat_bytes[{label}]", f"{sizes[0]} up, {sizes[1]} down")
 
 
 def config_cost() -> None:
-    """Measure a patch and its delta against the number of workspaces."""
+    """Measure a patch and its delta by the number of workspaces."""
     for workspaces in (10, 310):
         hub = make_hub(1, 1, workspaces)
         store = hub.state.configs
@@ -216,16 +216,18 @@
                 )
             )
 
-        say(f"patch_us[{workspaces} workspaces]", micros(patch, 100))
+        print_figure(
+            f"patch_us[{workspaces} workspaces]", mean_cost_us(patch, 100)
+        )
         delta = store.update_since(store.version - 1)
-        say(
+        print_figure(
             f"config_bytes[{workspaces} workspaces]",
-            f"whole {len(json.dumps(store.document))},"
+            f"complete {len(json.dumps(store.document))},"
             f" delta {len(wirecalls.CALLS.encode(delta))}",
         )
-        say(
+        print_figure(
             f"adopt_us[{workspaces} workspaces]",
-            micros(
+            mean_cost_us(
                 lambda s=store, d=delta: configstore.parse_document(
                     configstore.apply_update(
                         s.version - 1, dict(s.document), d
@@ -237,7 +239,7 @@
 
 
 def make_node(folder: pathlib.Path) -> node_lib.ControlNode:
-    """Return a single replica on a real disk."""
+    """Return a single replica with a data folder on disk."""
     disk = disk_lib.DataFolder(folder)
     disk.open()
     node = node_lib.ControlNode(
@@ -252,7 +254,7 @@
 
 
 def claim(number: int) -> messages.TakeClaim:
-    """Return a claim of its own."""
+    """Return a claim with a unique key."""
     return messages.TakeClaim(
         workspace="w",
         key=f"k{number}",
@@ -264,7 +266,7 @@
 
 
 def commit_rate() -> None:
-    """Measure claims per second, synced alone and in groups."""
+    """Measure claims per second by the number of claims per sync."""
     for group in (1, 8, 64):
         with tempfile.TemporaryDirectory() as name:
             node = make_node(pathlib.Path(name))
@@ -276,28 +278,30 @@
                     node.process(10.0)
             node.process(10.0)
             took = time.perf_counter() - started
-            say(f"claims_per_s[{group} per sync]", round(len(answers) / took))
+            print_figure(
+                f"claims_per_s[{group} per sync]", round(len(answers) / took)
+            )
             measure_recovery(pathlib.Path(name), node, group)
             node.storage.close()
 
 
 def measure_recovery(folder, node, group) -> None:
-    """Measure a restart from the log."""
+    """Measure the time to load the log at a restart."""
     node.storage.close()
     started = time.perf_counter()
-    make_again = disk_lib.DataFolder(folder)
-    make_again.open()
-    loaded = make_again.load()
+    disk = disk_lib.DataFolder(folder)
+    disk.open()
+    loaded = disk.load()
     took = round((time.perf_counter() - started) * 1e3, 1)
-    say(
+    print_figure(
         f"recovery_ms[{group} per sync]",
         f"{took} for {len(loaded.log.entries)} entries",
     )
-    make_again.close()
+    disk.close()
 
 
 def claim_memory() -> None:
-    """Measure the memory of a kept claim."""
+    """Measure the memory of a stored claim."""
     process = psutil.Process()
     state = state_lib.ControlState()
     before = process.memory_info().rss
@@ -305,14 +309,14 @@
     for number in range(count):
         state.apply(claim(number), time.time())
     used = process.memory_info().rss - before
-    say("claim_bytes", round(used / count))
+    print_figure("claim_bytes", round(used / count))
 
 
 # --- processes -----------------------------------------------------------------
 
 
 def process_figures() -> None:
-    """Measure the programs: memory, idle load, latency, throughput."""
+    """Measure memory, idle load, latency and throughput of the programs."""
     with tempfile.TemporaryDirectory() as name:
         fleet = fleet_lib.Fleet(
             pathlib.Path(name),
@@ -333,23 +337,23 @@
 
 
 def idle_figures(fleet: fleet_lib.Fleet) -> None:
-    """Measure memory and processor time of idle programs."""
-    chosen = [n for n in fleet.programs if n != "fakes"]
-    handles = {n: psutil.Process(fleet.programs[n].process.pid) for n in chosen}
+    """Measure memory and CPU time of idle programs."""
+    names = [n for n in fleet.programs if n != "fakes"]
+    handles = {n: psutil.Process(fleet.programs[n].process.pid) for n in names}
     before = {n: sum(h.cpu_times()[:2]) for n, h in handles.items()}
     time.sleep(IDLE_S)
     for name in ("entry-0", "entry-8", "control-0", "control-1"):
         handle = handles[name]
         used = sum(handle.cpu_times()[:2]) - before[name]
         memory = handle.memory_info().rss / 2**20
-        say(
+        print_figure(
             f"idle[{name}]",
             f"{memory:.0f} MB, {used / IDLE_S * 100:.2f}% of a core",
         )
 
 
 def patch_figures(fleet: fleet_lib.Fleet) -> None:
-    """Measure the time until a patch is in force at all nine entries."""
+    """Measure the time until all nine entries use a patch."""
     times = []
     leader = fleet.leader()
     for number in range(12):
@@ -366,14 +370,14 @@
         while not in_force(fleet, version):
             time.sleep(0.005)
         times.append(time.perf_counter() - started)
-    say(
+    print_figure(
         "in_force_s[9 entries]",
         f"p50 {numpy.percentile(times, 50):.2f}, max {max(times):.2f}",
     )
 
 
 def in_force(fleet: fleet_lib.Fleet, version: int) -> bool:
-    """Return whether all entries have a version in force."""
+    """Return whether all entries use a configuration version."""
     for number in range(fleet.entry_count):
         url = f"http://{fleet.listen[f'entry-{number}']}/health"
         if json.loads(fleet.fetch(url).body)["version"] < version:
@@ -382,37 +386,37 @@
 
 
 async def latency_figures(fleet: fleet_lib.Fleet) -> None:
-    """Measure an entry's added latency and throughput in one run."""
+    """Measure the latency that an entry adds, and its throughput."""
     client = curl_httpclient.CurlAsyncHTTPClient(
         force_instance=True, max_clients=200
     )
-    direct = f"http://{fleet.listen['billing-0']}/x"
-    through = f"http://{fleet.listen['entry-0']}/services/billing/x"
+    direct_url = f"http://{fleet.listen['billing-0']}/x"
+    entry_url = f"http://{fleet.listen['entry-0']}/services/billing/x"
     headers = {"Authorization": f"Bearer {fleet_lib.API_KEY}"}
-    direct_s = await latencies(client, direct, headers)
-    through_s = await latencies(client, through, headers)
+    direct_s = await latencies(client, direct_url, headers)
+    through_s = await latencies(client, entry_url, headers)
     for percent in (50, 99):
         base = numpy.percentile(direct_s, percent) * 1e3
         full = numpy.percentile(through_s, percent) * 1e3
-        say(
+        print_figure(
             f"latency_ms[p{percent}]",
             f"direct {base:.2f}, through an entry {full:.2f},"
             f" ratio {full / base:.1f}",
         )
-    await throughput(client, fleet, through, headers)
+    await throughput(client, fleet, entry_url, headers)
 
 
 async def latencies(client, url: str, headers: dict) -> list[float]:
-    """Return the seconds of calls one after another."""
-    found = []
+    """Return the durations of sequential calls in seconds."""
+    durations_s = []
     for _ in range(REQUESTS):
         started = time.perf_counter()
         await client.fetch(url, headers=headers)
-        found.append(time.perf_counter() - started)
-    return found
+        durations_s.append(time.perf_counter() - started)
+    return durations_s
 
 
-async def throughput(client, fleet, through: str, headers: dict) -> None:
+async def throughput(client, fleet, entry_url: str, headers: dict) -> None:
     """Measure requests and streamed tokens per second of one entry."""
     handle = psutil.Process(fleet.programs["entry-0"].process.pid)
     body = json.dumps(
@@ -428,7 +432,7 @@
         ("plain", {}, 0),
         ("stream", {"method": "POST", "body": body}, 256),
     ):
-        target = url if arguments else through
+        target = url if arguments else entry_url
         before = sum(handle.cpu_times()[:2])
         started = time.perf_counter()
         for _ in range(REQUESTS // 30):
@@ -441,7 +445,7 @@
         took = time.perf_counter() - started
         used = sum(handle.cpu_times()[:2]) - before
         rate = REQUESTS / max(used, 1e-3)
-        say(
+        print_figure(
             f"throughput[{label}]",
             f"{REQUESTS / took:.0f} requests/s, {rate:.0f} per core-second,"
             f" {rate * tokens:.0f} tokens per core-second",
@@ -449,8 +453,8 @@
 
 
 def main() -> None:
-    """Run all measurements, or those named on the command line."""
-    known = {
+    """Run the benchmarks named on the command line, all by default."""
+    measurements = {
         "decisions": decision_cost,
         "heartbeats": heartbeat_cost,
         "config": config_cost,
@@ -458,9 +462,11 @@
         "claims": claim_memory,
         "processes": process_figures,
     }
-    say("machine", f"{os.cpu_count()} cores, Python {sys.version.split()[0]}")
-    for name in sys.argv[1:] or known:
-        known[name]()
+    print_figure(
+        "machine", f"{os.cpu_count()} cores, Python {sys.version.split()[0]}"
+    )
+    for name in sys.argv[1:] or measurements:
+        measurements[name]()
 
 
 if __name__ == "__main__":
--- a/examples/traces/generate.py
+++ b/examples/traces/generate.py
@@ -1,4 +1,4 @@
-"""Writes the traces of this folder; run again after changing a mix."""
+"""Generates the traces in this folder."""
 
 import pathlib
 import random
@@ -9,22 +9,22 @@
 FOLDER = pathlib.Path(__file__).parent
 SECONDS = 180
 PLAIN = servicekind.ServiceKind.PLAIN
-OURS = ("short_slowdown", "ttft_all_lengths")
+LENGTH_AWARE_POLICIES = ("short_slowdown", "ttft_all_lengths")
 
 
 def arrivals(rng, rate, seconds=SECONDS):
-    """Yield the times of a Poisson stream."""
+    """Yield the arrival times of a Poisson process."""
     at = rng.expovariate(rate)
     while at < seconds:
         yield round(at, 4)
         at += rng.expovariate(rate)
 
 
-def mix(seed, classes, prefix, seconds=SECONDS):
-    """Return the requests of a mix.
+def sample_requests(seed, classes, prefix, seconds=SECONDS):
+    """Return random requests of several classes.
 
-    `classes` holds name, arrivals per second, shortest and longest prompt,
-    answer length and deadline.
+    Each of `classes` has a name, arrivals per second, minimum and maximum
+    prompt length, answer length and deadline.
     """
     rng = random.Random(seed)
     lines = []
@@ -50,19 +50,21 @@
         engines=(trace_lib.EngineLine(count=engines),),
         client_one_way_s=client_s,
     )
-    trace = trace_lib.Trace(fleet, mix(seed, classes, name), [], outcomes)
+    trace = trace_lib.Trace(
+        fleet, sample_requests(seed, classes, name), [], outcomes
+    )
     trace_lib.write(FOLDER / f"{name}.jsonl", trace)
 
 
-def at_most(measure, bound, policies=OURS):
-    """State an upper bound."""
+def at_most(measure, bound, policies=LENGTH_AWARE_POLICIES):
+    """Return an expected outcome with an upper bound."""
     return trace_lib.OutcomeLine(
         measure=measure, at_most=bound, policies=policies
     )
 
 
-def at_least(measure, bound, policies=OURS):
-    """State a lower bound."""
+def at_least(measure, bound, policies=LENGTH_AWARE_POLICIES):
+    """Return an expected outcome with a lower bound."""
     return trace_lib.OutcomeLine(
         measure=measure, at_least=bound, policies=policies
     )
@@ -118,7 +120,7 @@
 
 
 def shared_prefixes():
-    """Write prompts of which most start with one of sixty known sheets."""
+    """Write a workload whose prompts start with one of sixty prefixes."""
     rng = random.Random(11)
     lines = [
         trace_lib.RequestLine(
@@ -148,7 +150,7 @@
 
 
 def fault_trace(name, faults, outcomes, requests, engines=4, entries=3):
-    """Write a trace about one failure."""
+    """Write a trace with faults."""
     fleet = trace_lib.FleetLine(
         name=name,
         entries=entries,
@@ -163,17 +165,17 @@
 
 
 def background(seed=5, seconds=40):
-    """Return a small mix that goes on during a failure."""
+    """Return background requests for a trace with faults."""
     classes = [
         ("question", 4, 1_000, 2_000, 32, 20.0),
         ("contract", 0.5, 8_000, 30_000, 100, 60.0),
         ("ledger", 0.05, 100_000, 200_000, 100, 120.0),
     ]
-    return mix(seed, classes, "shop", seconds)
+    return sample_requests(seed, classes, "shop", seconds)
 
 
 def charge(at, name, key, entry="", deadline=10.0):
-    """Return a call that must not run twice."""
+    """Return a non-idempotent call."""
     return trace_lib.RequestLine(
         at=at,
         id=name,
@@ -196,14 +198,14 @@
 
 
 def ends(request, end, ran=""):
-    """State how a request ends."""
+    """Return the expected end of a request."""
     return trace_lib.OutcomeLine(
-        request=request, end=end, ran=ran, policies=OURS
+        request=request, end=end, ran=ran, policies=LENGTH_AWARE_POLICIES
     )
 
 
 def failures():
-    """Write one trace per failure of the users' list."""
+    """Write one trace per kind of failure."""
     fault_trace(
         "engine-dies",
         [fault(10, "kill_endpoint", "assistant-0", 15)],
