--- a/features/support/requestmachine.py
+++ b/features/support/requestmachine.py
@@ -132,7 +132,7 @@
         """Check one request: one end, whole, true, at most once."""
         request = record.request
         runs = self.world.endpoints.runs
-        assert record.ends <= 1, f"{request.request_id} ended twice"
+        assert record.end_count <= 1, f"{request.request_id} ended twice"
         if request.idempotency_key:
             assert runs.get(request.idempotency_key, 0) <= 1, "ran twice"
         if request.non_idempotent:
@@ -213,7 +213,7 @@
         """Check that a request ended within its bound."""
         if record.cut_off:
             return
-        assert record.ends == 1, f"{record.request.request_id} never ended"
+        assert record.end_count == 1, f"{record.request.request_id} never ended"
         late = record.ended_at - record.request.deadline_at
         assert late <= SLACK_S or record.entry in self.frozen, "too late"
 
--- a/src/_coltsfootroad/commands/ctl.py
+++ b/src/_coltsfootroad/commands/ctl.py
@@ -116,7 +116,7 @@
                 f"version {text} in force at {len(entries)} entries",
             )
             return common.EXIT_OK
-        time.sleep(ctlclient.RETRY_PAUSE_S)
+        time.sleep(ctlclient.RETRY_DELAY_S)
     ctlclient.print_result(
         {"in_force": False, "behind": outdated}, f"behind: {outdated}"
     )
@@ -224,7 +224,7 @@
                 {"voter": identity}, f"replica {identity} is a voter"
             )
             return common.EXIT_OK
-        time.sleep(ctlclient.RETRY_PAUSE_S)
+        time.sleep(ctlclient.RETRY_DELAY_S)
     common.print_error(
         "the replica is a learner that has not caught up; run the command again"
     )
--- a/src/_coltsfootroad/commands/ctlclient.py
+++ b/src/_coltsfootroad/commands/ctlclient.py
@@ -11,7 +11,7 @@
 from _coltsfootroad.shell import settings as settings_lib
 
 EXIT_STALE = 3
-RETRY_PAUSE_S = 0.3
+RETRY_DELAY_S = 0.3
 
 JSON = flags.DEFINE_bool("json", False, "Print JSON for scripts.")
 
@@ -58,7 +58,7 @@
                 response = self.fetch(address, path, **dict(arguments))
                 if response is not None and not is_leader_unavailable(response):
                     return response
-            time.sleep(RETRY_PAUSE_S)
+            time.sleep(RETRY_DELAY_S)
         raise Unreachable("no leading replica answered in time")
 
     def call_leader_once(self, path: str, **arguments):
--- a/src/_coltsfootroad/commands/standalone.py
+++ b/src/_coltsfootroad/commands/standalone.py
@@ -22,8 +22,8 @@
 from _coltsfootroad.shell import web
 
 MAX_CONNECTIONS = 500
-LEADER_WAIT_S = 5.0
-POLL_S = 0.02
+LEADER_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.02
 
 
 @attrs.define(eq=False)
@@ -56,9 +56,9 @@
     async def wait_for_leader(self) -> None:
         """Wait until the only replica is leader."""
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + LEADER_WAIT_S
+        deadline = loop.time() + LEADER_TIMEOUT_S
         while self.control.node.hub is None and loop.time() < deadline:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def put_config(self) -> None:
         """Apply the configured configuration, unless one is already stored."""
--- a/src/_coltsfootroad/fakes/engine.py
+++ b/src/_coltsfootroad/fakes/engine.py
@@ -16,6 +16,7 @@
 from _coltsfootroad.core import prefixes
 from _coltsfootroad.core import request as request_lib
 
+# Chunks of an answer after the first token.
 LATER_CHUNKS = 4
 MAX_CACHED_BLOCKS = 2_048
 
--- a/src/_coltsfootroad/fakes/fleet.py
+++ b/src/_coltsfootroad/fakes/fleet.py
@@ -23,7 +23,7 @@
 API_KEY = "fleet-test-key"
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 30.0
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 @attrs.define
@@ -228,7 +228,7 @@
         while time.monotonic() < end:
             if check():
                 return
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         raise RuntimeError(f"timed out waiting for {what}")
 
     def fetch(self, url: str, **arguments):
--- a/src/_coltsfootroad/replay/network.py
+++ b/src/_coltsfootroad/replay/network.py
@@ -38,7 +38,7 @@
 
     # --- time ------------------------------------------------------------
 
-    def at(self, when: float, call: Callable, *arguments) -> None:
+    def call_at(self, when: float, call: Callable, *arguments) -> None:
         """Schedule a call."""
         self.event_count += 1
         heapq.heappush(self.queue, (when, self.event_count, call, arguments))
@@ -64,7 +64,7 @@
             delay = self.one_way_s
             if self.extra_delay_s:
                 delay += self.rng.uniform(0, self.extra_delay_s)
-            self.at(self.now + delay, call, *arguments)
+            self.call_at(self.now + delay, call, *arguments)
 
     def is_cut(self, source: str, target: str) -> bool:
         """Return whether messages from source to target are lost."""
--- a/src/_coltsfootroad/replay/player.py
+++ b/src/_coltsfootroad/replay/player.py
@@ -80,18 +80,18 @@
         )
         self.world.entries.make_policy = policy_factory(self.policy, self.world)
 
-    def play(self) -> world_lib.World:
+    def run(self) -> world_lib.World:
         """Replay the trace and return the world at its end."""
         self.build()
         start = WARM_UP_S
         for line in self.trace.requests:
-            self.world.network.at(start + line.at, self.submit, line)
+            self.world.network.call_at(start + line.at, self.submit, line)
         for line in self.trace.faults:
-            self.world.network.at(start + line.at, self.fault, line)
-        self.world.network.run_until(start + self.end() + COOL_DOWN_S)
+            self.world.network.call_at(start + line.at, self.inject_fault, line)
+        self.world.network.run_until(start + self.end_time() + COOL_DOWN_S)
         return self.world
 
-    def end(self) -> float:
+    def end_time(self) -> float:
         """Return the time of the last deadline or fault end of the trace."""
         ends = [line.at + line.deadline_s for line in self.trace.requests]
         ends += [line.at + line.for_s for line in self.trace.faults]
@@ -166,12 +166,12 @@
 
     # --- faults ----------------------------------------------------------
 
-    def fault(self, line: trace_lib.FaultLine) -> None:
+    def inject_fault(self, line: trace_lib.FaultLine) -> None:
         """Inject one fault and schedule its end."""
         begin, end = FAULTS[line.fault]
         begin(self, line)
         if line.for_s and end is not None:
-            self.world.network.at(
+            self.world.network.call_at(
                 self.world.network.now + line.for_s, end, self, line
             )
 
@@ -239,12 +239,12 @@
 
 def replay(trace: trace_lib.Trace, policy: str) -> measure.Report:
     """Return the measures of a policy on a trace."""
-    world = Player(trace, policy).play()
+    world = Player(trace, policy).run()
     without_long = None
     long = any(r.prompt_tokens > measure.LONG_TOKENS for r in trace.requests)
     if long:
         short = trace.without_longer_than(measure.LONG_TOKENS)
-        without_long = Player(short, policy).play()
+        without_long = Player(short, policy).run()
     return measure.make_report(policy, world, without_long)
 
 
@@ -257,9 +257,9 @@
         for report in reports:
             if line.policies and report.policy not in line.policies:
                 continue
-            fault = check_outcome(line, report)
-            if fault:
-                found.append(f"{report.policy}: {fault}")
+            violation = check_outcome(line, report)
+            if violation:
+                found.append(f"{report.policy}: {violation}")
     return found
 
 
--- a/src/_coltsfootroad/replay/simcallers.py
+++ b/src/_coltsfootroad/replay/simcallers.py
@@ -11,7 +11,13 @@
 
 @attrs.define
 class RequestRecord:
-    """The result of one request as seen by its caller."""
+    """The result of one request as seen by its caller.
+
+    Attributes:
+        first_token_s: Seconds until the first token reaches the caller.
+        end_count: Number of ends received; more than 1 is a fault.
+        cut_off: Whether the connection was closed before the end.
+    """
 
     request: request_lib.Request
     entry: str
@@ -21,7 +27,7 @@
     failure: errors.Failure | None = None
     data: list[bytes] = attrs.Factory(list)
     answer: request_lib.Answer | None = None
-    ends: int = 0
+    end_count: int = 0
     cut_off: bool = False
 
 
@@ -50,7 +56,9 @@
             record.cut_off = True
             return
         arrives_at = self.network.now + self.one_way_s
-        self.network.at(arrives_at, self.deliver, entry, entry.core, request)
+        self.network.call_at(
+            arrives_at, self.deliver, entry, entry.core, request
+        )
 
     def pick_entry(self) -> processes.SimEntry | None:
         """Return a random entry of those that an address answer would list."""
@@ -73,7 +81,7 @@
             self.records[request.request_id].cut_off = True
             return
         if now < entry.frozen_until:
-            self.network.at(
+            self.network.call_at(
                 entry.frozen_until, self.deliver, entry, core, request
             )
             return
@@ -101,14 +109,14 @@
                 record.finished = True
                 record.answer = action.answer
                 record.ended_at = now
-                record.ends += 1
+                record.end_count += 1
             case actions.Fail():
                 record.failure = action.failure
                 record.ended_at = now
-                record.ends += 1
+                record.end_count += 1
 
     def cut_off(self, entry_name: str) -> None:
         """Close the connections of callers whose entry was killed."""
         for record in self.records.values():
-            if record.entry == entry_name and not record.ends:
+            if record.entry == entry_name and not record.end_count:
                 record.cut_off = True
--- a/src/_coltsfootroad/replay/simendpoints.py
+++ b/src/_coltsfootroad/replay/simendpoints.py
@@ -62,7 +62,7 @@
         self.by_name[endpoint.name] = endpoint
         self.announce_periodically(endpoint, endpoint.incarnation)
         offset = self.network.rng.uniform(0, self.report_every_s)
-        self.network.at(
+        self.network.call_at(
             self.network.now + offset,
             self.report_periodically,
             endpoint,
@@ -126,7 +126,7 @@
         if not endpoint.alive or endpoint.incarnation != incarnation:
             return
         self.announce(endpoint)
-        self.network.at(
+        self.network.call_at(
             self.network.now + ANNOUNCE_INTERVAL_S,
             self.announce_periodically,
             endpoint,
@@ -171,7 +171,7 @@
                 self.entries.deliver(
                     endpoint.name, entry, entry.core.on_cache_event, event
                 )
-        self.network.at(
+        self.network.call_at(
             self.network.now + self.report_every_s,
             self.report_periodically,
             endpoint,
@@ -212,7 +212,7 @@
 
         if not self.network.is_cut(entry.name, endpoint.name):
             arrives = self.network.now + self.network.one_way_s
-            self.network.at(arrives, arrive)
+            self.network.call_at(arrives, arrive)
 
     def fail_attempt(
         self,
@@ -287,7 +287,7 @@
                     answer,
                 )
 
-        self.network.at(self.network.now + self.plain_s, done)
+        self.network.call_at(self.network.now + self.plain_s, done)
 
     def cancel(self, entry: processes.SimEntry, action: actions.Cancel) -> None:
         """Send a cancellation, which the engine confirms."""
@@ -336,7 +336,9 @@
         if endpoint.next_tick_at is not None and endpoint.next_tick_at <= at:
             return
         endpoint.next_tick_at = at
-        self.network.at(at, self.run_model_tick, endpoint, endpoint.model, at)
+        self.network.call_at(
+            at, self.run_model_tick, endpoint, endpoint.model, at
+        )
 
     def run_model_tick(
         self, endpoint: processes.SimEndpoint, model, at: float
--- a/src/_coltsfootroad/replay/simentries.py
+++ b/src/_coltsfootroad/replay/simentries.py
@@ -119,7 +119,7 @@
     def call_when_thawed(self, entry, call: Callable, *arguments) -> None:
         """Call now, or at the end of the freeze if the process is frozen."""
         if self.network.now < entry.frozen_until:
-            self.network.at(
+            self.network.call_at(
                 entry.frozen_until,
                 self.call_when_thawed,
                 entry,
@@ -136,7 +136,7 @@
         if entry.next_tick_at is not None and entry.next_tick_at <= at:
             return
         entry.next_tick_at = at
-        self.network.at(at, self.tick, entry, core, at)
+        self.network.call_at(at, self.tick, entry, core, at)
 
     def tick(self, entry: processes.SimEntry, core, at: float) -> None:
         """Run a core's timers."""
@@ -148,7 +148,7 @@
         thaw_at = entry.frozen_until
         if self.network.now < thaw_at:
             entry.next_tick_at = thaw_at
-            self.network.at(thaw_at, self.tick, entry, core, thaw_at)
+            self.network.call_at(thaw_at, self.tick, entry, core, thaw_at)
             return
         self.run_core(entry, core.tick)
 
@@ -196,12 +196,12 @@
             return
         now = self.network.now
         if now < entry.frozen_until:
-            self.network.at(
+            self.network.call_at(
                 entry.frozen_until, self.send_heartbeats, entry, core
             )
             return
         self.send_heartbeat(entry, core)
-        self.network.at(
+        self.network.call_at(
             now + HEARTBEAT_INTERVAL_S, self.send_heartbeats, entry, core
         )
 
@@ -255,7 +255,7 @@
         for other in self.by_name.values():
             if other is not entry and other.alive:
                 wait_s = self.network.rng.uniform(0, MAX_NOTE_DELAY_S)
-                self.network.at(
+                self.network.call_at(
                     self.network.now + wait_s,
                     self.deliver,
                     entry.name,
@@ -295,7 +295,7 @@
                 self.settle(entry, core, action)
 
         self.call_control(entry, message, reply)
-        self.network.at(self.network.now + SETTLE_RETRY_DELAY_S, retry)
+        self.network.call_at(self.network.now + SETTLE_RETRY_DELAY_S, retry)
 
 
 def make_member(entry: processes.SimEntry) -> addresses.Member:
