--- a/src/_coltsfootroad/commands/ctl.py
+++ b/src/_coltsfootroad/commands/ctl.py
@@ -151,7 +151,7 @@
     return [
         f"replica {r['identity']} at {r['address']}:"
         f" {'voter' if r['voter'] else 'learner'}, {r['state']},"
-        f" {r['outdated']} entries behind"
+        f" {r['behind']} entries behind"
         for r in document["replicas"]
     ]
 
