--- a/features/steps/ports_steps.py
+++ b/features/steps/ports_steps.py
@@ -10,15 +10,15 @@
 
 @when("{count:d} ports are allocated, few at a time, from a range of {size:d}")
 def allocate_ports(context, count, size):
-    context.range = range(ports.LOWEST, ports.LOWEST + size)
+    context.range = range(ports.MIN_PORT, ports.MIN_PORT + size)
     context.ports = []
     with (
-        mock.patch.object(ports, "HIGHEST", ports.LOWEST + size),
-        mock.patch.object(ports, "HANDED_OUT", set()),
+        mock.patch.object(ports, "MAX_PORT", ports.MIN_PORT + size),
+        mock.patch.object(ports, "RETURNED_PORTS", set()),
     ):
         while len(context.ports) < count:
-            context.ports += ports.free_ports(2, ports.own_host())
-            context.ports.append(ports.free_port(ports.own_host()))
+            context.ports += ports.free_ports(2, ports.process_host())
+            context.ports.append(ports.free_port(ports.process_host()))
 
 
 @then("all of them differ")
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -547,12 +547,12 @@
 def replay_trace(context, name, policy):
     trace = trace_lib.read(str(TRACES / f"{name}.jsonl")).ok
     report = player.replay(trace, policy)
-    context.unmet = player.unmet(trace, [report])
+    context.unmet_outcomes = player.unmet_outcomes(trace, [report])
 
 
 @then("its stated outcomes are met")
 def check_outcomes(context):
-    assert not context.unmet, context.unmet
+    assert not context.unmet_outcomes, context.unmet_outcomes
 
 
 @when('the trace "{name}" states a slowdown of at most {bound:g} for {policy}')
@@ -562,12 +562,14 @@
         trace_lib.OutcomeLine(measure="short_slowdown_p95", at_most=bound)
     ]
     report = player.replay(trace, policy)
-    context.unmet = player.unmet(trace, [report])
+    context.unmet_outcomes = player.unmet_outcomes(trace, [report])
 
 
 @then('replaying it reports "{words}"')
 def check_replay_reports(context, words):
-    assert any(words in fault for fault in context.unmet), context.unmet
+    assert any(
+        words in fault for fault in context.unmet_outcomes
+    ), context.unmet_outcomes
 
 
 @when("a trace holds the line {line}")
--- a/features/support/requestmachine.py
+++ b/features/support/requestmachine.py
@@ -132,7 +132,7 @@
         """Check that a request ends once, runs at most once and is complete."""
         request = record.request
         runs = self.world.endpoints.runs
-        assert record.ends <= 1, f"{request.request_id} ended twice"
+        assert record.end_count <= 1, f"{request.request_id} ended twice"
         if request.idempotency_key:
             assert runs.get(request.idempotency_key, 0) <= 1, "ran twice"
         if request.non_idempotent:
@@ -151,7 +151,7 @@
             assert record.answer.body == expected, record.answer
             return
         data = b"".join(record.data)
-        assert data == engine_lib.whole_text(request.output_tokens), data
+        assert data == engine_lib.complete_text(request.output_tokens), data
 
     def check_version(self, entry) -> None:
         """Check that versions never revert and are not stale."""
@@ -213,7 +213,7 @@
         """Check that a request ended by its deadline."""
         if record.cut_off:
             return
-        assert record.ends == 1, f"{record.request.request_id} never ended"
+        assert record.end_count == 1, f"{record.request.request_id} never ended"
         late = record.ended_at - record.request.deadline_at
         assert late <= SLACK_S or record.entry in self.frozen, "past deadline"
 
@@ -301,7 +301,7 @@
             deadline_at=self.world.network.now + seconds,
             non_idempotent=True,
             idempotency_key=key,
-            key_time=simcontrol.UNIX_START,
+            key_time=simcontrol.START_UNIX_S,
             body_hash=f"{key}{body}",
         )
 
--- a/src/_coltsfootroad/commands/common.py
+++ b/src/_coltsfootroad/commands/common.py
@@ -1,4 +1,4 @@
-"""What all programs share: flags, settings, signals, exit codes."""
+"""Flags, settings, signals and exit codes that all programs share."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,34 +23,34 @@
 LOG = logs.logger("main")
 
 SETTINGS = flags.DEFINE_string("settings", None, "Path of the settings file.")
-VERSION = flags.DEFINE_bool("version", False, "Show the version and stop.")
+VERSION = flags.DEFINE_bool("version", False, "Print the version and exit.")
 
 
-HELP_WORDS = ("-h", "--help", "-help")
+HELP_FLAGS = ("-h", "--help", "-help")
 
 
 def start(main: Callable[[list[str]], int], usage: str = "") -> None:
     """Parse the command line and run a program.
 
-    `usage` says what the program does; it is shown by `--help`, above the
-    flags.
+    `--help` prints `usage`, a description of the program, above the flags.
     """
-    if usage and any(word in HELP_WORDS for word in sys.argv[1:]):
+    if usage and any(word in HELP_FLAGS for word in sys.argv[1:]):
         print(usage.strip())
         print(flags_help())
         sys.exit(EXIT_OK)
 
-    def guarded(arguments: list[str]) -> int:
+    def run_main(arguments: list[str]) -> int:
         if VERSION.value:
             print(version.VERSION)
             return EXIT_OK
         return main(arguments)
 
-    # What the imports made stays for good and need not be looked at again.
+    # Objects created by the imports live as long as the process, so the garbage
+    # collector does not need to scan them.
     gc.freeze()
     gc.enable()
     try:
-        sys.exit(guarded(parse_flags(sys.argv)))
+        sys.exit(run_main(parse_flags(sys.argv)))
     finally:
         if commandline.is_server(sys.argv):
             startsignals.ignore()
@@ -58,26 +58,30 @@
 
 def flags_help() -> str:
     """Return the help of the project's own flags."""
-    known = flags.FLAGS.flags_by_module_dict()
-    own = [name for name in known if name.startswith("_coltsfootroad")]
-    return "\n".join(flags.FLAGS.module_help(name) for name in sorted(own))
+    flags_by_module = flags.FLAGS.flags_by_module_dict()
+    own_modules = [
+        name for name in flags_by_module if name.startswith("_coltsfootroad")
+    ]
+    return "\n".join(
+        flags.FLAGS.module_help(name) for name in sorted(own_modules)
+    )
 
 
 def parse_flags(arguments: list[str]) -> list[str]:
-    """Parse flags; a wrong one gets one line, not a traceback."""
+    """Parse flags; report an invalid flag in one line, without a traceback."""
     try:
         return flags.FLAGS(arguments)
     except flags.Error as error:
         reject_usage(f"{error}; see --help")
 
 
-def complain(message: str) -> None:
-    """Write a message to standard error."""
+def print_error(message: str) -> None:
+    """Print a message to standard error."""
     print(message, file=sys.stderr)
 
 
 def read_settings(kind: type) -> object:
-    """Return the settings, or end the program with what is wrong."""
+    """Return the settings, or exit with the error message."""
     if not SETTINGS.value:
         reject_usage("--settings is missing; see examples/ for a sample")
     loaded = settings_lib.load(SETTINGS.value, kind)
@@ -87,46 +91,53 @@
 
 
 def reject_usage(message: str) -> NoReturn:
-    """Write what is wrong and end, whatever signals arrive meanwhile."""
+    """Print a usage error and exit, ignoring signals that arrive meanwhile."""
     if commandline.is_server(sys.argv):
         startsignals.ignore()
-    complain(message)
+    print_error(message)
     sys.exit(EXIT_USAGE)
 
 
 def run_loop(main) -> int:
-    """Run a program's coroutine function on one loop; return the exit code.
+    """Run a coroutine function on an event loop; return the exit code.
 
-    A failure to listen is reported in one line, without a traceback.
+    Failure to open a listener is reported in one line, without a traceback.
     """
     signals = processsignals.PROCESS
     signals.install()
 
-    async def attached() -> int:
+    async def run_main() -> int:
         signals.attach(asyncio.get_running_loop())
         return await main()
 
     try:
-        return asyncio.run(attached())
+        return asyncio.run(run_main())
     except listening.ListenError as error:
-        complain(str(error))
+        print_error(str(error))
         return EXIT_FAILED
     finally:
         signals.ignore()
 
 
 async def wait_for_stop(
-    broken: list[asyncio.Future],
+    failures: list[asyncio.Future],
     dump: Callable[[], bytes],
-    asked: asyncio.Future | None = None,
+    stop_requested: asyncio.Future | None = None,
 ) -> bool:
-    """Wait for SIGTERM, SIGINT or `asked`; False on a broken invariant.
+    """Wait for SIGTERM, SIGINT or `stop_requested`; return False on a failure.
+
+    A stop requested during startup counts. SIGUSR1 writes a dump of the state
+    to standard error, also while the program drains.
 
-    A stop that was asked for while the program started counts. SIGUSR1 writes
-    a dump of the state to standard error, also while the program drains.
+    Args:
+        failures: Futures that get an exception when an invariant is violated.
+        dump: Returns the state dump.
+        stop_requested: Completes when another party stops the program.
     """
     loop = asyncio.get_running_loop()
-    stop = asked if asked is not None else loop.create_future()
+    stop = (
+        stop_requested if stop_requested is not None else loop.create_future()
+    )
 
     def on_stop() -> None:
         if not stop.done():
@@ -136,7 +147,7 @@
     signals.set_action(signal.SIGUSR1, lambda: write_dump(dump))
     signals.set_stop_action(on_stop)
     done, _ = await asyncio.wait(
-        [stop, *broken], return_when=asyncio.FIRST_COMPLETED
+        [stop, *failures], return_when=asyncio.FIRST_COMPLETED
     )
     failed = [future for future in done if future is not stop]
     for future in failed:
@@ -144,8 +155,8 @@
     return not failed
 
 
-def on_reload(action: Callable[[], None]) -> None:
-    """Run an action whenever SIGHUP comes, until the program stops."""
+def set_reload_action(action: Callable[[], None]) -> None:
+    """Run an action on each SIGHUP until the program stops."""
     processsignals.PROCESS.set_action(signal.SIGHUP, action)
 
 
--- a/src/_coltsfootroad/commands/control.py
+++ b/src/_coltsfootroad/commands/control.py
@@ -1,4 +1,4 @@
-"""`colts-control`: one replica of the durable state."""
+"""`colts-control`: a control replica or a relay of the control plane."""
 
 from collections.abc import Callable
 import pathlib
@@ -15,20 +15,20 @@
 from _coltsfootroad.shell import settings as settings_lib
 
 LOG = logs.logger("main")
-# Adds a platform's own calls at an address, passed on by a way to the leader.
-Adapt = Callable[[links.ControlClient, str], None]
+# Serves a platform's API at an address; its calls are forwarded to the leader.
+AddPlatformApi = Callable[[links.ControlClient, str], None]
 BOOTSTRAP = flags.DEFINE_bool(
     "bootstrap",
     False,
-    "Begin a new system with this replica as its only voter. Once, ever: a"
-    " replica that lost its disk must be replaced instead.",
+    "Bootstrap a new system with this replica as its only voter. Use it only"
+    " once per system: a replica that lost its disk must be replaced instead.",
 )
 
 
 def build(
     settings: settings_lib.ControlSettings,
 ) -> controlserver.ControlServer:
-    """Wire the parts of a replica."""
+    """Return a replica with its dependencies."""
     folder = disk_lib.DataFolder(pathlib.Path(settings.data_folder))
     folder.open()
     return controlserver.ControlServer(
@@ -36,14 +36,14 @@
     )
 
 
-def no_adapter(_link: links.ControlClient, _address: str) -> None:
-    """Add no calls of a platform."""
+def add_no_platform_api(_link: links.ControlClient, _address: str) -> None:
+    """Serve no platform API."""
 
 
 def reload(
     server: controlserver.ControlServer | controlrelay.ControlRelay,
 ) -> None:
-    """Read the settings again; only seeds may change while it runs."""
+    """Reload the settings; only the seeds can change at run time."""
     loaded = settings_lib.load(
         common.SETTINGS.value, settings_lib.ControlSettings
     )
@@ -54,61 +54,69 @@
         LOG.error("settings not reloaded", fault=loaded.error)
 
 
-async def serve(
+async def run_replica(
     settings: settings_lib.ControlSettings,
     bootstrap: bool,
-    adapt: Adapt = no_adapter,
+    add_platform_api: AddPlatformApi = add_no_platform_api,
 ) -> int:
-    """Run a replica until it is told to stop."""
+    """Run a replica until it is stopped."""
     server = build(settings)
     if settings.bootstraps_system():
         server.bootstrap()
     elif bootstrap and not server.bootstrap():
-        common.complain(
-            f"--bootstrap: data folder {settings.data_folder} is in use"
-            " already; start without the flag"
+        common.print_error(
+            f"--bootstrap: data folder {settings.data_folder} is already in"
+            " use; start without the flag"
         )
         return common.EXIT_USAGE
-    adapt(controlserver.ForwardingControlClient(server), settings.api_listen)
+    add_platform_api(
+        controlserver.ForwardingControlClient(server), settings.api_listen
+    )
     await server.start()
-    common.on_reload(lambda: reload(server))
-    # They may have changed between the first reading and now.
+    common.set_reload_action(lambda: reload(server))
+    # The settings may have changed since they were first read.
     reload(server)
-    went_well = await common.wait_for_stop([server.fatal_error], server.dump)
+    stopped_normally = await common.wait_for_stop(
+        [server.fatal_error], server.dump
+    )
     await server.stop()
-    return common.EXIT_OK if went_well else common.EXIT_FAILED
+    return common.EXIT_OK if stopped_normally else common.EXIT_FAILED
 
 
-async def serve_relay(
-    settings: settings_lib.ControlSettings, adapt: Adapt
+async def run_relay(
+    settings: settings_lib.ControlSettings, add_platform_api: AddPlatformApi
 ) -> int:
-    """Run a process without a disk until it is told to stop."""
+    """Run a relay, which has no disk, until it is stopped."""
     relay = controlrelay.ControlRelay(
         settings, controlserver.make_relay(settings)
     )
-    adapt(relay.control_client, settings.api_listen)
+    add_platform_api(relay.control_client, settings.api_listen)
     await relay.start()
-    common.on_reload(lambda: reload(relay))
-    went_well = await common.wait_for_stop([relay.fatal_error], relay.dump)
+    common.set_reload_action(lambda: reload(relay))
+    stopped_normally = await common.wait_for_stop(
+        [relay.fatal_error], relay.dump
+    )
     await relay.stop()
-    return common.EXIT_OK if went_well else common.EXIT_FAILED
+    return common.EXIT_OK if stopped_normally else common.EXIT_FAILED
 
 
 def main(_: list[str]) -> int:
-    """Run a replica."""
-    return main_with(no_adapter)
+    """Run a replica or a relay."""
+    return main_with(add_no_platform_api)
 
 
-def main_with(adapt: Adapt) -> int:
-    """Run a replica to which a platform's calls are added."""
+def main_with(add_platform_api: AddPlatformApi) -> int:
+    """Run a replica or a relay that also serves a platform's API."""
     settings = common.read_settings(settings_lib.ControlSettings)
     logs.start(settings.log_level, structured=settings.structured_logs)
     if not settings.data_folder:
-        return common.run_loop(lambda: serve_relay(settings, adapt))
+        return common.run_loop(lambda: run_relay(settings, add_platform_api))
     try:
-        return common.run_loop(lambda: serve(settings, BOOTSTRAP.value, adapt))
+        return common.run_loop(
+            lambda: run_replica(settings, BOOTSTRAP.value, add_platform_api)
+        )
     except disk_lib.DiskError as error:
-        common.complain(str(error))
+        common.print_error(str(error))
         return common.EXIT_FAILED
 
 
--- a/src/_coltsfootroad/commands/ctl.py
+++ b/src/_coltsfootroad/commands/ctl.py
@@ -1,7 +1,7 @@
-"""`colts-ctl`: what operators do, for people and for scripts.
+"""`colts-ctl`: operator commands, with text output or JSON for scripts.
 
-Exit codes: 0 done; 1 refused or failed; 2 wrong usage; 3 the version that
-a patch was written against is stale; 4 no replica answered.
+Exit codes: 0 success; 1 refused or failed; 2 usage error; 3 the base version
+of a patch is stale; 4 no replica answered.
 """
 
 import json
@@ -19,118 +19,121 @@
 
 EXIT_UNREACHABLE = 4
 
-VERSION_FLAG = flags.DEFINE_integer(
-    "base", None, "Version that a patch is written against."
+BASE_VERSION = flags.DEFINE_integer(
+    "base", None, "Configuration version that a patch is based on."
 )
 PATCH_ID = flags.DEFINE_string(
-    "patch_id", None, "Id of a patch, the same again in a resend."
+    "patch_id", None, "Id of a patch; use the same id to resend it."
 )
 REPLACES = flags.DEFINE_string(
-    "replaces", "", "Identity of the replica that a new one replaces."
+    "replaces", "", "Identity of the replica that the new one replaces."
 )
 
 USAGE = """usage: colts-ctl --settings=FILE [--json] COMMAND
 
-  config get                 the configuration and its version
-  config patch FILE|-        patch it (JSON Merge Patch); --base=VERSION
-  config watch VERSION       wait until VERSION is in force at every entry
-  status                     leader, replicas, entries, endpoints
-  endpoints                  the endpoints known
-  members                    the entries known
-  replica list               each replica and where it stands
-  replica add ADMIN_ADDRESS  add a replica: learn, catch up, then vote;
-                             --replaces=IDENTITY swaps out a lost one
-  replica remove IDENTITY    take a replica out
-  quarantine list            requests that are refused, and why
+  config get                 show the configuration and its version
+  config patch FILE|-        apply a JSON Merge Patch; --base=VERSION
+  config watch VERSION       wait until all entries use VERSION
+  status                     show leader, replicas, entries, endpoints
+  endpoints                  list the endpoints
+  members                    list the entries
+  replica list               list the replicas and their replication lag
+  replica add ADMIN_ADDRESS  add a replica as a learner and promote it to a
+                             voter once it has caught up;
+                             --replaces=IDENTITY removes a lost replica
+  replica remove IDENTITY    remove a replica
+  quarantine list            list the quarantined requests and the reasons
   quarantine add WORKSPACE BODY_BYTES FINGERPRINT REASON
-                             refuse a request, as logs name it; an empty
-                             workspace is written ""
+                             quarantine a request, with the values that
+                             the logs show; "" is the empty workspace
   quarantine remove FINGERPRINT
-                             run a request again
-  snapshot FILE              write a backup of the whole state
+                             remove a request from the quarantine
+  snapshot FILE              write a backup of the durable state
   drain ADMIN_ADDRESS        shut an entry down gracefully
-  dump ADMIN_ADDRESS         a process's state"""
+  dump ADMIN_ADDRESS         show the state of a process"""
 
 
-def config_get(client: ctlclient.Client) -> int:
-    """Show the configuration."""
-    response = client.ask("/v1/config")
+def get_config(client: ctlclient.Client) -> int:
+    """Print the configuration and its version."""
+    response = client.call_leader("/v1/config")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     document = json.loads(response.body)
     text = json.dumps(document["config"], indent=2)
-    ctlclient.show(document, f"version {document['version']}\n{text}")
+    ctlclient.print_result(document, f"version {document['version']}\n{text}")
     return common.EXIT_OK
 
 
-def config_patch(client: ctlclient.Client, source: str) -> int:
-    """Patch the configuration."""
-    if VERSION_FLAG.value is None:
-        common.complain("config patch needs --base=VERSION")
+def patch_config(client: ctlclient.Client, source: str) -> int:
+    """Apply a patch to the configuration."""
+    if BASE_VERSION.value is None:
+        common.print_error("config patch needs --base=VERSION")
         return common.EXIT_USAGE
     try:
         body = read_source(source)
     except OSError as error:
-        common.complain(f"patch {source}: {error.strerror}")
+        common.print_error(f"patch {source}: {error.strerror}")
         return common.EXIT_USAGE
     patch_id = PATCH_ID.value or uuid.uuid4().hex
-    response = client.ask(
+    response = client.call_leader(
         "/v1/config",
         method="PATCH",
         body=body,
         headers={
-            "If-Match": str(VERSION_FLAG.value),
+            "If-Match": str(BASE_VERSION.value),
             "X-Patch-Id": patch_id,
         },
     )
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     document = json.loads(response.body) | {"patch_id": patch_id}
-    ctlclient.show(document, f"version {document['version']} accepted")
+    ctlclient.print_result(document, f"version {document['version']} accepted")
     return common.EXIT_OK
 
 
 def read_source(source: str) -> bytes:
-    """Return a file's bytes, or standard input's."""
+    """Return the content of a file, or of standard input for `-`."""
     if source == "-":
         return sys.stdin.buffer.read()
     return pathlib.Path(source).read_bytes()
 
 
-def config_watch(client: ctlclient.Client, text: str) -> int:
-    """Wait until a version is in force at every live entry."""
+def wait_for_version(client: ctlclient.Client, text: str) -> int:
+    """Wait until every live entry uses a configuration version."""
     if not text.isdigit():
-        common.complain(f"config watch needs a version number, not {text!r}")
+        common.print_error(f"config watch needs a version number, not {text!r}")
         return common.EXIT_USAGE
-    end = time.monotonic() + client.settings.timeout_s
-    behind = []
-    while time.monotonic() < end:
+    deadline = time.monotonic() + client.settings.timeout_s
+    outdated = []
+    while time.monotonic() < deadline:
         entries = read_status(client).get("entries", [])
-        behind = [
+        outdated = [
             e["entry"] for e in entries if e["config_version"] < int(text)
         ]
-        if not behind:
-            ctlclient.show(
+        if not outdated:
+            ctlclient.print_result(
                 {"in_force": True, "entries": len(entries)},
                 f"version {text} in force at {len(entries)} entries",
             )
             return common.EXIT_OK
-        time.sleep(ctlclient.RETRY_PAUSE_S)
-    ctlclient.show({"in_force": False, "behind": behind}, f"behind: {behind}")
+        time.sleep(ctlclient.RETRY_DELAY_S)
+    ctlclient.print_result(
+        {"in_force": False, "behind": outdated}, f"behind: {outdated}"
+    )
     return common.EXIT_FAILED
 
 
 def read_status(client: ctlclient.Client) -> dict:
-    """Return the leader's status, empty when refused."""
-    response = client.ask("/v1/status")
+    """Return the leader's status, empty if the call was refused."""
+    response = client.call_leader("/v1/status")
     return json.loads(response.body) if response.code == 200 else {}
 
 
 def status(client: ctlclient.Client) -> int:
-    """Show the whole status."""
-    response = client.ask("/v1/status")
+    """Print the complete status."""
+    response = client.call_leader("/v1/status")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     document = json.loads(response.body)
     lines = [
         f"leader {document['leader']}, term {document['term']},"
@@ -139,12 +142,12 @@
         *member_lines(document),
         *endpoint_lines(document),
     ]
-    ctlclient.show(document, "\n".join(lines))
+    ctlclient.print_result(document, "\n".join(lines))
     return common.EXIT_OK
 
 
 def replica_lines(document: dict) -> list[str]:
-    """Return a line per replica."""
+    """Return one line per replica."""
     return [
         f"replica {r['identity']} at {r['address']}:"
         f" {'voter' if r['voter'] else 'learner'}, {r['state']},"
@@ -154,7 +157,7 @@
 
 
 def member_lines(document: dict) -> list[str]:
-    """Return a line per entry."""
+    """Return one line per entry."""
     return [
         f"entry {e['entry']} at {e['address']}"
         f" in {e['availability_zone'] or '-'}: version"
@@ -165,7 +168,7 @@
 
 
 def endpoint_lines(document: dict) -> list[str]:
-    """Return a line per endpoint."""
+    """Return one line per endpoint."""
     return [
         f"endpoint {e['endpoint']} at {e['address']}: {e['service']},"
         f" {e['state']}"
@@ -173,34 +176,36 @@
     ]
 
 
-def listing(client: ctlclient.Client, key: str, lines) -> int:
-    """Show one part of the status."""
-    response = client.ask("/v1/status")
+def show_status_list(client: ctlclient.Client, key: str, lines) -> int:
+    """Print one list of the status."""
+    response = client.call_leader("/v1/status")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     document = json.loads(response.body)
-    ctlclient.show(document[key], "\n".join(lines(document)) or "none")
+    ctlclient.print_result(document[key], "\n".join(lines(document)) or "none")
     return common.EXIT_OK
 
 
-def replica_change(client: ctlclient.Client, document: dict) -> int:
-    """Ask for one change of the set of replicas; return an exit code."""
-    response = client.ask(
+def change_replica_set(client: ctlclient.Client, document: dict) -> int:
+    """Change the replica set; return the exit code."""
+    response = client.call_leader(
         "/v1/replica", method="POST", body=json.dumps(document)
     )
     return (
-        common.EXIT_OK if response.code == 200 else ctlclient.refused(response)
+        common.EXIT_OK
+        if response.code == 200
+        else ctlclient.report_failure(response)
     )
 
 
-def replica_add(client: ctlclient.Client, address: str) -> int:
-    """Add a replica: as a learner first, as a voter once it caught up."""
+def add_replica(client: ctlclient.Client, address: str) -> int:
+    """Add a replica as a learner; promote it once it has caught up."""
     response = client.fetch(address, "/v1/replica")
     if response is None or response.code != 200:
-        common.complain(f"replica at {address} does not answer")
+        common.print_error(f"replica at {address} does not answer")
         return EXIT_UNREACHABLE
     replica = json.loads(response.body)["replica"]
-    code = replica_change(client, {"action": "learn", "replica": replica})
+    code = change_replica_set(client, {"action": "learn", "replica": replica})
     if code != common.EXIT_OK:
         return code
     document = {
@@ -208,25 +213,29 @@
         "replica": replica,
         "replaces": REPLACES.value,
     }
-    end = time.monotonic() + client.settings.timeout_s
-    while time.monotonic() < end:
-        response = client.try_once(
+    deadline = time.monotonic() + client.settings.timeout_s
+    while time.monotonic() < deadline:
+        response = client.call_leader_once(
             "/v1/replica", method="POST", body=json.dumps(document)
         )
         if response is not None and response.code == 200:
             identity = f"{replica['name']}#{replica['disk']}"
-            ctlclient.show({"voter": identity}, f"replica {identity} votes")
+            ctlclient.print_result(
+                {"voter": identity}, f"replica {identity} is a voter"
+            )
             return common.EXIT_OK
-        time.sleep(ctlclient.RETRY_PAUSE_S)
-    common.complain("the replica learns but has not caught up; run it again")
+        time.sleep(ctlclient.RETRY_DELAY_S)
+    common.print_error(
+        "the replica is a learner that has not caught up; run the command again"
+    )
     return common.EXIT_FAILED
 
 
-def replica_remove(client: ctlclient.Client, identity: str) -> int:
-    """Take a replica out of the set."""
+def remove_replica(client: ctlclient.Client, identity: str) -> int:
+    """Remove a replica from the replica set."""
     known = {r["identity"]: r for r in read_status(client)["replicas"]}
     if identity not in known:
-        common.complain(f"replica {identity!r} is not known: {list(known)}")
+        common.print_error(f"replica {identity!r} is not known: {list(known)}")
         return common.EXIT_FAILED
     name, _, disk = identity.partition("#")
     replica = {
@@ -234,31 +243,33 @@
         "disk": disk,
         "address": known[identity]["address"],
     }
-    code = replica_change(client, {"action": "remove", "replica": replica})
+    code = change_replica_set(client, {"action": "remove", "replica": replica})
     if code == common.EXIT_OK:
-        ctlclient.show({"removed": identity}, f"replica {identity} removed")
+        ctlclient.print_result(
+            {"removed": identity}, f"replica {identity} removed"
+        )
     return code
 
 
 def snapshot(client: ctlclient.Client, path: str) -> int:
-    """Write a backup."""
-    response = client.ask("/v1/snapshot")
+    """Write a backup of the durable state to a file."""
+    response = client.call_leader("/v1/snapshot")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     pathlib.Path(path).write_bytes(response.body)
-    ctlclient.show(
+    ctlclient.print_result(
         {"bytes": len(response.body)}, f"{len(response.body)} bytes written"
     )
     return common.EXIT_OK
 
 
 def dump(client: ctlclient.Client, address: str) -> int:
-    """Show a process's state."""
+    """Print the state of a process."""
     response = client.fetch(address, "/admin/dump")
     if response is None:
         raise ctlclient.Unreachable(f"{address} does not answer")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     print(response.body.decode())
     return common.EXIT_OK
 
@@ -269,91 +280,94 @@
     if response is None:
         raise ctlclient.Unreachable(f"{address} does not answer")
     if response.code != 200:
-        return ctlclient.refused(response)
+        return ctlclient.report_failure(response)
     document = json.loads(response.body)
     seconds = document["accepts_for_s"]
-    ctlclient.show(
-        document, f"{address} leaves; it accepts for {seconds} s more"
+    ctlclient.print_result(
+        document,
+        f"{address} is draining; it accepts requests for {seconds} s more",
     )
     return common.EXIT_OK
 
 
-def carry_out(client: ctlclient.Client, words: list[str]) -> int:
-    """Run one command."""
-    match words:
+def run_command(client: ctlclient.Client, arguments: list[str]) -> int:
+    """Run a command."""
+    match arguments:
         case ["config", *rest]:
-            return config(client, rest)
+            return run_config_command(client, rest)
         case ["status"]:
             return status(client)
         case ["endpoints"]:
-            return listing(client, "endpoints", endpoint_lines)
+            return show_status_list(client, "endpoints", endpoint_lines)
         case ["members"]:
-            return listing(client, "entries", member_lines)
+            return show_status_list(client, "entries", member_lines)
         case ["replica", *rest]:
-            return replica(client, rest)
+            return run_replica_command(client, rest)
         case ["quarantine", *rest]:
-            return quarantine(client, rest)
+            return run_quarantine_command(client, rest)
         case ["snapshot", path]:
             return snapshot(client, path)
         case ["dump", address]:
             return dump(client, address)
         case ["drain", address]:
             return drain(client, address)
-    common.complain(f"unknown command {' '.join(words)!r}\n{USAGE}")
+    common.print_error(f"unknown command {' '.join(arguments)!r}\n{USAGE}")
     return common.EXIT_USAGE
 
 
-def config(client: ctlclient.Client, words: list[str]) -> int:
-    """Run one command on the configuration."""
-    match words:
+def run_config_command(client: ctlclient.Client, arguments: list[str]) -> int:
+    """Run a configuration command."""
+    match arguments:
         case ["get"]:
-            return config_get(client)
+            return get_config(client)
         case ["patch", source]:
-            return config_patch(client, source)
+            return patch_config(client, source)
         case ["watch", text]:
-            return config_watch(client, text)
-    common.complain(f"unknown config command\n{USAGE}")
+            return wait_for_version(client, text)
+    common.print_error(f"unknown config command\n{USAGE}")
     return common.EXIT_USAGE
 
 
-def replica(client: ctlclient.Client, words: list[str]) -> int:
-    """Run one command on replicas."""
-    match words:
+def run_replica_command(client: ctlclient.Client, arguments: list[str]) -> int:
+    """Run a replica command."""
+    match arguments:
         case ["list"]:
-            return listing(client, "replicas", replica_lines)
+            return show_status_list(client, "replicas", replica_lines)
         case ["add", address]:
-            return replica_add(client, address)
+            return add_replica(client, address)
         case ["remove", identity]:
-            return replica_remove(client, identity)
-    common.complain(f"unknown replica command\n{USAGE}")
+            return remove_replica(client, identity)
+    common.print_error(f"unknown replica command\n{USAGE}")
     return common.EXIT_USAGE
 
 
-def quarantine(client: ctlclient.Client, words: list[str]) -> int:
-    """Run one command on requests in quarantine."""
-    match words:
+def run_quarantine_command(
+    client: ctlclient.Client, arguments: list[str]
+) -> int:
+    """Run a quarantine command."""
+    match arguments:
         case ["list"]:
-            return quarantinectl.show_all(client)
+            return quarantinectl.list_entries(client)
         case ["add", workspace, body_bytes, fingerprint, reason]:
             return quarantinectl.add(
                 client, workspace, body_bytes, fingerprint, reason
             )
         case ["remove", fingerprint]:
             return quarantinectl.remove(client, fingerprint)
-    common.complain(f"unknown quarantine command\n{USAGE}")
+    common.print_error(f"unknown quarantine command\n{USAGE}")
     return common.EXIT_USAGE
 
 
 def main(arguments: list[str]) -> int:
     """Run the program."""
     if not arguments[1:]:
-        common.complain(USAGE)
+        common.print_error(USAGE)
         return common.EXIT_USAGE
     settings = common.read_settings(settings_lib.CtlSettings)
     try:
-        return carry_out(ctlclient.Client(settings), arguments[1:])
+        return run_command(ctlclient.Client(settings), arguments[1:])
     except ctlclient.Unreachable as error:
-        common.complain(str(error))
+        common.print_error(str(error))
         return EXIT_UNREACHABLE
 
 
--- a/src/_coltsfootroad/commands/standalone.py
+++ b/src/_coltsfootroad/commands/standalone.py
@@ -1,4 +1,4 @@
-"""`colts-standalone`: every role in one process, for a first try."""
+"""`colts-standalone`: all roles in one process, for trying out."""
 
 import asyncio
 import json
@@ -22,13 +22,13 @@
 from _coltsfootroad.shell import web
 
 MAX_CONNECTIONS = 500
-LEADER_WAIT_S = 5.0
-POLL_S = 0.02
+LEADER_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.02
 
 
 @attrs.define(eq=False)
 class Standalone:
-    """All parts of a one-process system."""
+    """The components of a one-process system."""
 
     settings: settings_lib.StandaloneSettings
     control: controlserver.ControlServer
@@ -37,9 +37,9 @@
     admin: object = None
 
     async def start(self) -> None:
-        """Start the parts, the control state first."""
+        """Start the components, the control replica first."""
         if not self.control.bootstrap():
-            LOG.info("data folder {} is in use, going on", self.data_folder)
+            LOG.info("data folder {} is in use, reusing it", self.data_folder)
         self.control.run_tick()
         await self.wait_for_leader()
         await self.put_config()
@@ -50,18 +50,18 @@
 
     @property
     def data_folder(self) -> str:
-        """Return the folder of the durable state."""
+        """Return the path of the data folder."""
         return self.settings.data_folder
 
     async def wait_for_leader(self) -> None:
-        """Wait until the only replica leads."""
+        """Wait until the only replica is leader."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + LEADER_WAIT_S
-        while self.control.node.coordinator is None and loop.time() < end:
-            await asyncio.sleep(POLL_S)
+        deadline = loop.time() + LEADER_TIMEOUT_S
+        while self.control.node.coordinator is None and loop.time() < deadline:
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def put_config(self) -> None:
-        """Put the first configuration in force, if there is none."""
+        """Apply the configured configuration, unless one is already stored."""
         if self.control.node.state.configs.version or not self.settings.config:
             return
         answer = await self.control.call(
@@ -72,10 +72,10 @@
             )
         )
         if answer.failure is not None:
-            LOG.error("first configuration: {}", answer.failure.message)
+            LOG.error("first configuration refused: {}", answer.failure.message)
 
     def listen_admin(self) -> None:
-        """Serve operators, dump and metrics of all parts."""
+        """Serve the operator API, the state dump and the metrics."""
         routes = operatorapi.routes(self.control) + web.admin_routes(
             self.settings.admin_token, self.dump, self.entry.metrics
         )
@@ -86,7 +86,7 @@
         )
 
     def dump(self) -> bytes:
-        """Return the dumps of both roles."""
+        """Return the state dumps of both roles."""
         parts = {
             "entry": json.loads(self.entry.dump()),
             "control": json.loads(self.control.dump()),
@@ -94,7 +94,7 @@
         return json.dumps(parts, indent=1).encode()
 
     async def stop(self) -> None:
-        """Finish what is in progress, then stop."""
+        """Drain the entry, then stop all components."""
         await self.entry.drain()
         for endpoint in self.endpoints:
             await endpoint.stop()
@@ -106,7 +106,7 @@
 
 
 def build(settings: settings_lib.StandaloneSettings) -> Standalone:
-    """Wire every role on one loop."""
+    """Return a system whose roles share an event loop."""
     metrics = metrics_lib.Metrics.start("colts-standalone")
     folder = disk_lib.DataFolder(pathlib.Path(settings.data_folder))
     folder.open()
@@ -139,11 +139,11 @@
 def fake_endpoints(
     settings: settings_lib.StandaloneSettings,
 ) -> list[httpendpoint.FakeEndpoint]:
-    """Return the stand-in endpoints: engines, and one plain service."""
+    """Return the fake endpoints: engines and one plain service."""
     host, port = settings_lib.split_address(settings.listen)
-    found = []
+    fakes = []
     for number in range(settings.fake_engines):
-        found.append(
+        fakes.append(
             httpendpoint.FakeEndpoint(
                 name=f"engine-{number}",
                 service="assistant",
@@ -153,7 +153,7 @@
             )
         )
     if settings.fake_engines:
-        found.append(
+        fakes.append(
             httpendpoint.FakeEndpoint(
                 name="billing-0",
                 service="billing",
@@ -163,11 +163,11 @@
                 incarnation=entry_command.new_incarnation(),
             )
         )
-    return found
+    return fakes
 
 
 def main(_: list[str]) -> int:
-    """Run a whole system until it is told to stop."""
+    """Run a complete system until it is stopped."""
     settings = common.read_settings(settings_lib.StandaloneSettings)
     logs.start(settings.log_level)
 
@@ -175,15 +175,15 @@
         system = build(settings)
         await system.start()
         LOG.info("try: curl http://{}/v1/addresses", settings.listen)
-        broken = [system.entry.fatal_error, system.control.fatal_error]
-        went_well = await common.wait_for_stop(broken, system.dump)
+        failures = [system.entry.fatal_error, system.control.fatal_error]
+        stopped_normally = await common.wait_for_stop(failures, system.dump)
         await system.stop()
-        return common.EXIT_OK if went_well else common.EXIT_FAILED
+        return common.EXIT_OK if stopped_normally else common.EXIT_FAILED
 
     try:
         return common.run_loop(serve)
     except disk_lib.DiskError as error:
-        common.complain(str(error))
+        common.print_error(str(error))
         return common.EXIT_FAILED
 
 
--- a/src/_coltsfootroad/replay/network.py
+++ b/src/_coltsfootroad/replay/network.py
@@ -1,4 +1,4 @@
-"""Virtual time, and the links between simulated processes."""
+"""Virtual time and the network between simulated processes."""
 
 from collections.abc import Callable
 import heapq
@@ -9,18 +9,20 @@
 
 @attrs.define(eq=False)
 class Network:
-    """One queue of timed calls, and what happens to messages on their way.
+    """A queue of scheduled calls, with delay, loss and duplication of messages.
 
     Attributes:
-        rng: Where all chance of a simulated fleet comes from.
+        rng: Source of all randomness of a simulated fleet.
         one_way_s: Delay of a message.
         loss: Share of messages that are lost.
-        duplication: Share of messages that arrive twice.
-        extra_delay_s: Most that a message is late by besides.
-        now: Seconds of virtual time.
+        duplication: Share of messages that are delivered twice.
+        extra_delay_s: Maximum random delay in addition to `one_way_s`.
+        now: Virtual time in seconds.
+        queue: Heap of scheduled calls.
+        event_count: Calls scheduled so far; orders calls of the same time.
         cuts: Pairs of sender and receiver whose messages are lost; `*` is
-            everybody.
-        after_event: Called after each call of the queue, for checks.
+            any process.
+        after_event: Invariant check that runs after each call.
     """
 
     rng: random.Random
@@ -30,16 +32,16 @@
     extra_delay_s: float = 0.0
     now: float = 0.0
     queue: list = attrs.Factory(list)
-    number: int = 0
+    event_count: int = 0
     cuts: set[tuple[str, str]] = attrs.Factory(set)
     after_event: Callable | None = None
 
     # --- time ------------------------------------------------------------
 
-    def at(self, when: float, call: Callable, *arguments) -> None:
-        """Plan a call."""
-        self.number += 1
-        heapq.heappush(self.queue, (when, self.number, call, arguments))
+    def call_at(self, when: float, call: Callable, *arguments) -> None:
+        """Schedule a call."""
+        self.event_count += 1
+        heapq.heappush(self.queue, (when, self.event_count, call, arguments))
 
     def run_until(self, end: float) -> None:
         """Run all calls up to a time."""
@@ -54,7 +56,7 @@
     # --- messages --------------------------------------------------------
 
     def send(self, source: str, target: str, call: Callable, *arguments):
-        """Deliver a call, late, twice or never."""
+        """Deliver a call after a delay; it may be lost or duplicated."""
         if self.is_cut(source, target) or self.rng.random() < self.loss:
             return
         copies = 2 if self.rng.random() < self.duplication else 1
@@ -62,7 +64,7 @@
             delay = self.one_way_s
             if self.extra_delay_s:
                 delay += self.rng.uniform(0, self.extra_delay_s)
-            self.at(self.now + delay, call, *arguments)
+            self.call_at(self.now + delay, call, *arguments)
 
     def is_cut(self, source: str, target: str) -> bool:
         """Return whether messages from source to target are lost."""
@@ -70,7 +72,7 @@
         return any(pair in self.cuts for pair in pairs)
 
     def cut(self, source: str, target: str, both: bool = True) -> None:
-        """Lose messages between two parties; `*` is everybody."""
+        """Drop messages between two processes; `*` is any process."""
         self.cuts.add((source, target))
         if both:
             self.cuts.add((target, source))
--- a/src/_coltsfootroad/replay/processes.py
+++ b/src/_coltsfootroad/replay/processes.py
@@ -1,4 +1,4 @@
-"""The simulated processes of a fleet, and what its parts need of entries."""
+"""Simulated processes of a fleet and the interface of its entries."""
 
 import abc
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 @attrs.define(eq=False)
 class SimEndpoint:
-    """An endpoint, engine or plain, with its connections."""
+    """An endpoint process, engine or plain service, with its connections."""
 
     name: str
     service: str
@@ -26,7 +26,7 @@
     alive: bool = True
     state: registry.EndpointState = registry.EndpointState.SERVING
     connections: set = attrs.Factory(set)
-    woken_at: float | None = None
+    next_tick_at: float | None = None
 
 
 @attrs.define(eq=False)
@@ -38,22 +38,22 @@
     zone: str
     alive: bool = True
     frozen_until: float = 0.0
-    woken_at: float | None = None
-    unsettled: int = 0
+    next_tick_at: float | None = None
+    unsettled_claims: int = 0
 
 
-class EntryHost(abc.ABC):
-    """What callers and endpoints need of the entries.
+class EntriesInterface(abc.ABC):
+    """Operations on entries that callers and endpoints use.
 
     Attributes:
-        by_name: The entry processes, dead ones too.
+        by_name: The entry processes, including those that are down.
     """
 
     by_name: dict[str, SimEntry]
 
     @abc.abstractmethod
     def run_core(self, entry: SimEntry, method: Callable, *arguments) -> None:
-        """Call an entry's core and carry out its actions."""
+        """Call a method of an entry's core and execute its actions."""
 
     @abc.abstractmethod
     def deliver(
@@ -62,5 +62,5 @@
         """Send a call to an entry's core over the network."""
 
     @abc.abstractmethod
-    def some(self) -> list[SimEntry]:
-        """Return the entries that an endpoint talks to this time."""
+    def sample_entries(self) -> list[SimEntry]:
+        """Return a random sample of the entries that are up."""
--- a/src/_coltsfootroad/replay/simcallers.py
+++ b/src/_coltsfootroad/replay/simcallers.py
@@ -1,4 +1,4 @@
-"""The callers of a simulated fleet, and what became of their requests."""
+"""The callers of a simulated fleet and the results of their requests."""
 
 import attrs
 
@@ -10,8 +10,14 @@
 
 
 @attrs.define
-class Record:
-    """What became of one request, as its caller saw it."""
+class RequestRecord:
+    """The result of one request as seen by its caller.
+
+    Attributes:
+        first_token_s: Seconds until the first token reaches the caller.
+        end_count: Number of ends received; more than 1 is a fault.
+        cut_off: Whether the connection was closed before the end.
+    """
 
     request: request_lib.Request
     entry: str
@@ -21,39 +27,41 @@
     failure: errors.Failure | None = None
     data: list[bytes] = attrs.Factory(list)
     answer: request_lib.Answer | None = None
-    ends: int = 0
+    end_count: int = 0
     cut_off: bool = False
 
 
 @attrs.define(eq=False)
-class Callers:
-    """Sends requests to entries and records what comes back.
+class SimCallers:
+    """Sends requests to entries and records the results.
 
     Attributes:
         one_way_s: Delay between a caller and an entry.
-        records: By request id.
+        records: Results by request id.
     """
 
     network: network_lib.Network
     one_way_s: float = 0.001
-    records: dict[str, Record] = attrs.Factory(dict)
-    entries: processes.EntryHost = attrs.field(init=False)
+    records: dict[str, RequestRecord] = attrs.Factory(dict)
+    entries: processes.EntriesInterface = attrs.field(init=False)
 
     def submit(
         self, request: request_lib.Request, entry_name: str = ""
     ) -> None:
-        """Send a caller's request to an entry."""
+        """Send a request to the named entry, else to a random one."""
         entry = self.entries.by_name.get(entry_name) or self.pick_entry()
-        record = Record(request, entry.name if entry else "")
+        record = RequestRecord(request, entry.name if entry else "")
         self.records[request.request_id] = record
         if entry is None or not entry.alive:
             record.cut_off = True
             return
-        arrive = self.network.now + self.one_way_s
-        self.network.at(arrive, self.arrive, entry, entry.core, request)
+        arrives_at = self.network.now + self.one_way_s
+        self.network.call_at(
+            arrives_at, self.deliver, entry, entry.core, request
+        )
 
     def pick_entry(self) -> processes.SimEntry | None:
-        """Return an entry as an address answer would name it."""
+        """Return a random entry of those that an address answer would list."""
         now = self.network.now
         alive = [
             entry
@@ -64,17 +72,17 @@
         ]
         return self.network.rng.choice(alive) if alive else None
 
-    def arrive(
+    def deliver(
         self, entry: processes.SimEntry, core, request: request_lib.Request
     ) -> None:
-        """Give a request to an entry."""
+        """Deliver a request to an entry."""
         now = self.network.now
         if entry.core is not core or not entry.alive:
             self.records[request.request_id].cut_off = True
             return
         if now < entry.frozen_until:
-            self.network.at(
-                entry.frozen_until, self.arrive, entry, core, request
+            self.network.call_at(
+                entry.frozen_until, self.deliver, entry, core, request
             )
             return
         shift = now - request.arrived_at
@@ -83,10 +91,10 @@
         )
         self.entries.run_core(entry, core.submit, request)
 
-    def take(
+    def record_action(
         self, action: actions.Emit | actions.Finish | actions.Fail
     ) -> None:
-        """Record what a caller is told."""
+        """Record a chunk or the end of a request."""
         record = self.records.get(action.request_id)
         if record is None:
             return
@@ -101,14 +109,14 @@
                 record.finished = True
                 record.answer = action.answer
                 record.ended_at = now
-                record.ends += 1
+                record.end_count += 1
             case actions.Fail():
                 record.failure = action.failure
                 record.ended_at = now
-                record.ends += 1
+                record.end_count += 1
 
     def cut_off(self, entry_name: str) -> None:
-        """Close the connections of callers whose entry has died."""
+        """Close the connections of callers whose entry was killed."""
         for record in self.records.values():
-            if record.entry == entry_name and not record.ends:
+            if record.entry == entry_name and not record.end_count:
                 record.cut_off = True
--- a/src/_coltsfootroad/replay/simendpoints.py
+++ b/src/_coltsfootroad/replay/simendpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of a simulated fleet: engines and plain services."""
+"""Simulated endpoints of a fleet: engines and plain services."""
 
 import attrs
 
@@ -11,41 +11,43 @@
 from _coltsfootroad.replay import network as network_lib
 from _coltsfootroad.replay import processes
 
-ANNOUNCE_EVERY_S = 1.0
-REPORT_EVERY_S = 1.0
+ANNOUNCE_INTERVAL_S = 1.0
+REPORT_INTERVAL_S = 1.0
 PLAIN_SERVICE_S = 0.05
 
 
 @attrs.define(eq=False)
-class Endpoints:
-    """Runs the endpoints, and carries work to them and answers back.
+class SimEndpoints:
+    """Runs the endpoints and exchanges work and answers with the entries.
 
     Attributes:
         report_every_s: Seconds between two load reports of an endpoint.
-        plain_s: How long a plain service takes for a call.
-        by_name: The endpoints, dead ones too.
-        book: What engines of a group know of each other.
-        runs: How often work was begun at an endpoint, by request id and by
-            idempotency key: what at-most-once is judged by.
+        plain_s: Seconds that a plain service takes for a call.
+        by_name: The endpoints, including those that are down.
+        group_prefills: Prefilled parts of groups of engines.
+        runs: Starts of work at endpoints by request id and by idempotency
+            key; tests check at-most-once execution with them.
         dispatches: Time, entry and endpoint of each part that was sent.
     """
 
     network: network_lib.Network
-    report_every_s: float = REPORT_EVERY_S
+    report_every_s: float = REPORT_INTERVAL_S
     plain_s: float = PLAIN_SERVICE_S
     by_name: dict[str, processes.SimEndpoint] = attrs.Factory(dict)
-    book: engine_lib.GroupBook = attrs.Factory(engine_lib.GroupBook)
+    group_prefills: engine_lib.GroupPrefills = attrs.Factory(
+        engine_lib.GroupPrefills
+    )
     runs: dict[str, int] = attrs.Factory(dict)
     dispatches: list[tuple[float, str, str]] = attrs.Factory(list)
-    entries: processes.EntryHost = attrs.field(init=False)
+    entries: processes.EntriesInterface = attrs.field(init=False)
 
     # --- processes -------------------------------------------------------
 
     def add_engine(
         self, name: str, service: str, speed: engine_lib.EngineSpeed
     ) -> None:
-        """Add an engine, which announces itself."""
-        model = engine_lib.EngineModel(name, speed, self.book)
+        """Add an engine, which then announces itself."""
+        model = engine_lib.EngineModel(name, speed, self.group_prefills)
         kind = servicekind.ServiceKind.ENGINE
         self.add(processes.SimEndpoint(name, service, kind, model))
 
@@ -56,19 +58,19 @@
         self.add(processes.SimEndpoint(name, service, kind, model))
 
     def add(self, endpoint: processes.SimEndpoint) -> None:
-        """Add an endpoint and its timers."""
+        """Add an endpoint and start its timers."""
         self.by_name[endpoint.name] = endpoint
-        self.announce_often(endpoint, endpoint.incarnation)
+        self.announce_periodically(endpoint, endpoint.incarnation)
         offset = self.network.rng.uniform(0, self.report_every_s)
-        self.network.at(
+        self.network.call_at(
             self.network.now + offset,
-            self.report_often,
+            self.report_periodically,
             endpoint,
             endpoint.incarnation,
         )
 
     def kill(self, name: str) -> None:
-        """Kill an endpoint; its connections break at once."""
+        """Kill an endpoint; its connections are closed at once."""
         endpoint = self.by_name[name]
         if not endpoint.alive:
             return
@@ -79,14 +81,16 @@
                 self.fail_attempt(endpoint, entry, key, faults.Fault.LOST)
         endpoint.connections.clear()
         for key in list(endpoint.model.jobs):
-            self.book.forget(key)
+            self.group_prefills.drop_group(key)
 
     def start(self, name: str) -> None:
         """Start a killed endpoint with empty memory."""
         old = self.by_name[name]
         if old.alive:
             return
-        model = engine_lib.EngineModel(name, old.model.speed, self.book)
+        model = engine_lib.EngineModel(
+            name, old.model.speed, self.group_prefills
+        )
         model.incarnation = old.incarnation + 1
         self.add(
             processes.SimEndpoint(
@@ -99,38 +103,38 @@
         )
 
     def leave(self, name: str) -> None:
-        """Let an endpoint say that it leaves."""
+        """Announce that an endpoint leaves."""
         endpoint = self.by_name[name]
         endpoint.state = registry.EndpointState.LEAVING
         if endpoint.alive:
             self.announce(endpoint)
 
     def slow(self, name: str, factor: float) -> None:
-        """Make an engine slower by a factor."""
+        """Set the factor by which an engine is slower."""
         self.by_name[name].model.slow_factor = factor
 
     def kv_held(self) -> int:
-        """Return the memory held on all live engines."""
+        """Return the KV cache tokens held on all engines that are up."""
         return sum(e.model.kv_used for e in self.by_name.values() if e.alive)
 
-    # --- what endpoints say ----------------------------------------------
+    # --- announcements and reports ---------------------------------------
 
-    def announce_often(
+    def announce_periodically(
         self, endpoint: processes.SimEndpoint, incarnation: int
     ) -> None:
-        """Announce an endpoint to a few entries while it lives."""
+        """Announce an endpoint at a fixed interval until it ends."""
         if not endpoint.alive or endpoint.incarnation != incarnation:
             return
         self.announce(endpoint)
-        self.network.at(
-            self.network.now + ANNOUNCE_EVERY_S,
-            self.announce_often,
+        self.network.call_at(
+            self.network.now + ANNOUNCE_INTERVAL_S,
+            self.announce_periodically,
             endpoint,
             incarnation,
         )
 
     def announce(self, endpoint: processes.SimEndpoint) -> None:
-        """Announce an endpoint once."""
+        """Announce an endpoint once to a sample of the entries."""
         endpoint.seq += 1
         announcement = registry.Announcement(
             endpoint=endpoint.name,
@@ -143,22 +147,22 @@
             kv_tokens=endpoint.model.speed.kv_tokens,
             max_running=endpoint.model.speed.max_running,
         )
-        for entry in self.entries.some():
+        for entry in self.entries.sample_entries():
             self.entries.deliver(
                 endpoint.name, entry, entry.core.on_announcement, announcement
             )
 
-    def report_often(
+    def report_periodically(
         self, endpoint: processes.SimEndpoint, incarnation: int
     ) -> None:
-        """Report load and cache events while an endpoint lives."""
+        """Report load and cache events periodically until the endpoint ends."""
         if not endpoint.alive or endpoint.incarnation != incarnation:
             return
-        self.run_model(endpoint)
+        self.advance_model(endpoint)
         endpoint.seq += 1
         report = endpoint.model.report(endpoint.seq, self.network.now)
         events, endpoint.model.cache_events = endpoint.model.cache_events, []
-        for entry in self.entries.some():
+        for entry in self.entries.sample_entries():
             self.entries.deliver(
                 endpoint.name, entry, entry.core.on_load, report
             )
@@ -167,9 +171,9 @@
                 self.entries.deliver(
                     endpoint.name, entry, entry.core.on_cache_event, event
                 )
-        self.network.at(
+        self.network.call_at(
             self.network.now + self.report_every_s,
-            self.report_often,
+            self.report_periodically,
             endpoint,
             incarnation,
         )
@@ -192,7 +196,7 @@
         action: actions.Dispatch,
         part: actions.Part,
     ) -> None:
-        """Send one part; a refused connection is noticed, a cut is not."""
+        """Send one part; only a refused connection is reported, not a cut."""
         endpoint = self.by_name[part.endpoint]
         core = entry.core
         key = (action.request.request_id, action.attempt)
@@ -208,7 +212,7 @@
 
         if not self.network.is_cut(entry.name, endpoint.name):
             arrives = self.network.now + self.network.one_way_s
-            self.network.at(arrives, arrive)
+            self.network.call_at(arrives, arrive)
 
     def fail_attempt(
         self,
@@ -218,7 +222,7 @@
         fault: faults.Fault,
         core=None,
     ) -> None:
-        """Tell the core that asked, else the present one, of a fault."""
+        """Report a failed attempt to the given core, else the current one."""
         core = core or entry.core
         self.entries.deliver(
             endpoint.name,
@@ -230,10 +234,10 @@
         )
 
     def run_part(self, entry, core, endpoint, action, part) -> None:
-        """Give one part to an engine."""
+        """Run one part at an engine."""
         request = action.request
         key = (request.request_id, action.attempt)
-        self.count_run(request)
+        self.count_start(request)
         single = len(action.parts) == 1
         tokens = request.prompt_tokens if single else part.prompt_tokens
         job = engine_lib.Job(
@@ -253,10 +257,10 @@
         endpoint.connections.add((entry.name, core.owner, key))
         outputs = endpoint.model.submit(job, self.network.now)
         self.send_outputs(endpoint, outputs)
-        self.wake_model(endpoint)
+        self.schedule_model(endpoint)
 
-    def count_run(self, request: request_lib.Request) -> None:
-        """Count that work began at an endpoint."""
+    def count_start(self, request: request_lib.Request) -> None:
+        """Count a start of work at an endpoint."""
         for name in (request.request_id, request.idempotency_key):
             if name:
                 self.runs[name] = self.runs.get(name, 0) + 1
@@ -266,7 +270,7 @@
         request = action.request
         core = entry.core
         key = (request.request_id, action.attempt)
-        self.count_run(request)
+        self.count_start(request)
         endpoint.connections.add((entry.name, core.owner, key))
         body = f"done {request.body_hash}".encode()
         answer = request_lib.Answer(status=200, body=body)
@@ -283,10 +287,10 @@
                     answer,
                 )
 
-        self.network.at(self.network.now + self.plain_s, done)
+        self.network.call_at(self.network.now + self.plain_s, done)
 
     def cancel(self, entry: processes.SimEntry, action: actions.Cancel) -> None:
-        """Send a cancel; the engine confirms."""
+        """Send a cancellation, which the engine confirms."""
         endpoint = self.by_name[action.endpoint]
         core = entry.core
         key = (action.request_id, action.attempt)
@@ -297,7 +301,7 @@
             outputs = endpoint.model.cancel(key, self.network.now)
             self.send_outputs(endpoint, outputs)
             endpoint.connections.discard((entry.name, core.owner, key))
-            self.wake_model(endpoint)
+            self.schedule_model(endpoint)
             self.entries.deliver(
                 endpoint.name,
                 entry,
@@ -324,41 +328,43 @@
 
     # --- engines ---------------------------------------------------------
 
-    def wake_model(self, endpoint: processes.SimEndpoint) -> None:
-        """Plan the next event of an engine."""
+    def schedule_model(self, endpoint: processes.SimEndpoint) -> None:
+        """Schedule the next event of an engine."""
         at = endpoint.model.next_event()
         if at is None or not endpoint.alive:
             return
-        if endpoint.woken_at is not None and endpoint.woken_at <= at:
+        if endpoint.next_tick_at is not None and endpoint.next_tick_at <= at:
             return
-        endpoint.woken_at = at
-        self.network.at(at, self.tick_model, endpoint, endpoint.model, at)
+        endpoint.next_tick_at = at
+        self.network.call_at(
+            at, self.run_model_tick, endpoint, endpoint.model, at
+        )
 
-    def tick_model(
+    def run_model_tick(
         self, endpoint: processes.SimEndpoint, model, at: float
     ) -> None:
-        """Run an engine up to now."""
-        if endpoint.model is model and endpoint.woken_at == at:
-            endpoint.woken_at = None
-            self.run_model(endpoint)
+        """Run a scheduled event of an engine."""
+        if endpoint.model is model and endpoint.next_tick_at == at:
+            endpoint.next_tick_at = None
+            self.advance_model(endpoint)
 
-    def run_model(self, endpoint: processes.SimEndpoint) -> None:
-        """Run an engine up to now and send what it generated."""
+    def advance_model(self, endpoint: processes.SimEndpoint) -> None:
+        """Advance an engine to the current time and send its new chunks."""
         if not endpoint.alive:
             return
         self.send_outputs(endpoint, endpoint.model.advance(self.network.now))
-        # A group that completed here starts at its leader elsewhere.
+        # A prefill that ended here may have started decode at another engine.
         for other in self.by_name.values():
             if other is not endpoint and other.model.timers:
-                self.wake_model(other)
-        self.wake_model(endpoint)
+                self.schedule_model(other)
+        self.schedule_model(endpoint)
 
     def send_outputs(
         self,
         endpoint: processes.SimEndpoint,
         outputs: list[engine_lib.Output],
     ) -> None:
-        """Send chunks to the entries that asked for them."""
+        """Send chunks to the entries that requested them."""
         for output in outputs:
             owner = output.job.owner
             entry = self.entries.by_name[owner.rpartition("/")[0]]
