--- a/features/soak/__init__.py
+++ b/features/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of the real programs under faults from outside."""
+"""Randomized soak test: real programs under injected external faults."""
--- a/features/soak/audit.py
+++ b/features/soak/audit.py
@@ -1,4 +1,7 @@
-"""What callers, endpoints and operators saw, checked against the promises."""
+"""Checks what callers, endpoints and operators observed in a soak.
+
+Each check compares the observations with a guarantee of the system.
+"""
 
 import bisect
 import collections
@@ -8,53 +11,54 @@
 from features.soak import lateness as lateness_lib
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
-# Slack for what a loaded machine adds to each bound, in seconds.
-SLACK_S = 1.0
-DRAIN_S = 2.0
-REVOKE_S = 5.0
-GRACE_S = 8.0
-EVENTS = 4
-# From a third crash until all gateways refuse, with a leader lost meanwhile.
-QUARANTINE_S = 7.0
-MAX_RETRIES = 3
-QUARANTINED = b'"quarantined"'
-# What all gateways may retry together in any window.
+# Tolerance of each time bound, for delays on a loaded machine.
+TIME_TOLERANCE_S = 1.0
+DRAIN_PERIOD_S = 2.0
+MAX_REVOCATION_S = 5.0
+MAX_SHUTDOWN_S = 8.0
+STREAM_EVENTS = 4
+# From the third crash until all gateways refuse the request, including the
+# loss of a leader.
+MAX_QUARANTINE_DELAY_S = 7.0
+MAX_LATE_POISON_RUNS = 3
+QUARANTINED_CODE = b'"quarantined"'
+# Retry budget of all gateways together in any window.
 RETRY_RATIO = 0.2
 RETRY_SLACK = 20.0
 RETRY_WINDOW_S = 10.0
-# Stands for all gateways in a span that keeps them from the replicas.
-EVERY_GATEWAY = -1
+# Gateway of a disturbance that keeps all gateways from reaching the replicas.
+ALL_GATEWAYS = -1
 
 
 @attrs.frozen(kw_only=True)
 class Run:
-    """A request that an endpoint began to work on."""
+    """A request that an endpoint began to run."""
 
     request: str
     endpoint: str
     at: float
-    sound: bool
+    undisturbed: bool
 
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """A request as its caller saw it; status 0 is a broken connection."""
+    """A request as its caller saw it; status 0 is a failed connection."""
 
     request: str
     kind: str
     key: str
     gateway: int
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
     deadline_s: float
     status: int
-    whole: bool
+    complete: bool
     body: bytes
 
 
 @attrs.frozen(kw_only=True)
-class Span:
-    """A time in which a gateway or the way to it was disturbed."""
+class Disturbance:
+    """A time span in which a fault affected a gateway."""
 
     gateway: int
     begin: float
@@ -63,13 +67,13 @@
 
 @attrs.frozen(kw_only=True)
 class Exit:
-    """How a process ended that was told to stop.
+    """How a process exited after SIGTERM.
 
     Attributes:
-        code: Its exit code, None if it runs on.
-        took_s: Seconds from the signal to its end.
-        age_s: Seconds from its start to the signal.
-        disposition: What the signal would do to it when it was sent.
+        code: Exit code, None if the process still runs.
+        took_s: Seconds from the signal to the exit.
+        age_s: Seconds from the start of the process to the signal.
+        disposition: Disposition of the signal in the process when it was sent.
     """
 
     name: str
@@ -80,270 +84,290 @@
 
 
 @attrs.define
-class Book:
-    """Everything that was seen in one soak."""
+class Observations:
+    """Everything that was observed in one soak."""
 
     runs: list[Run] = attrs.Factory(list)
     outcomes: list[Outcome] = attrs.Factory(list)
-    versions: list[tuple[int, int, int]] = attrs.Factory(list)
-    acknowledged: dict[int, float] = attrs.Factory(dict)
-    sources: dict[int, set[bytes]] = attrs.Factory(
+    versions_seen: list[tuple[int, int, int]] = attrs.Factory(list)
+    acknowledged_at: dict[int, float] = attrs.Factory(dict)
+    sources_by_version: dict[int, set[bytes]] = attrs.Factory(
         lambda: collections.defaultdict(set)
     )
-    revoked: dict[str, float] = attrs.Factory(dict)
-    left: dict[str, float] = attrs.Factory(dict)
-    disturbed: list[Span] = attrs.Factory(list)
+    revoked_at: dict[str, float] = attrs.Factory(dict)
+    left_at: dict[str, float] = attrs.Factory(dict)
+    disturbances: list[Disturbance] = attrs.Factory(list)
     exits: list[Exit] = attrs.Factory(list)
     read_back: tuple[int, bytes] | None = None
-    # What lost replicas were waited for in vain to do.
-    unrepaired: list[str] = attrs.Factory(list)
+    # Repairs of lost replicas that did not complete in time.
+    repair_failures: list[str] = attrs.Factory(list)
     final_versions: dict[int, int] = attrs.Factory(dict)
-    # How late the soak itself was.
-    lateness: lateness_lib.Lateness = attrs.Factory(lateness_lib.Lateness)
-    # When poison requests began to run, by body.
-    poisoned: dict[bytes, list[float]] = attrs.Factory(
+    # Delays of the soak's own process.
+    lateness: lateness_lib.DelayLog = attrs.Factory(lateness_lib.DelayLog)
+    # Times at which poison requests began to run, by body.
+    poison_runs: dict[bytes, list[float]] = attrs.Factory(
         lambda: collections.defaultdict(list)
     )
-    # When callers sent requests, and when these reached endpoints.
+    # Times at which callers sent requests, and at which these reached endpoints.
     sent: list[float] = attrs.Factory(list)
     arrivals: list[tuple[str, float]] = attrs.Factory(list)
 
 
-def check(book: Book) -> list[str]:
-    """Return every promise that was broken, in words."""
+def check(observed: Observations) -> list[str]:
+    """Return a message for each violated guarantee."""
     runs = collections.defaultdict(list)
-    for run in book.runs:
+    for run in observed.runs:
         runs[run.request].append(run)
-    faults = []
-    for outcome in book.outcomes:
-        mine = runs[outcome.request]
-        faults += check_counts(outcome, mine)
-        faults += check_answer(outcome, mine)
-        faults += check_time(outcome, book)
-        faults += check_cut(outcome, mine, book)
-    faults += check_unasked(book)
-    faults += check_revoked(book)
-    faults += check_left(book)
-    faults += check_versions(book)
-    faults += check_exits(book)
-    faults += check_poisons(book)
-    faults += check_retries(book)
-    return faults + book.unrepaired
-
-
-def check_retries(book: Book) -> list[str]:
-    """Check that no window holds more retries than all gateways may send."""
+    violations = []
+    for outcome in observed.outcomes:
+        request_runs = runs[outcome.request]
+        violations += check_run_count(outcome, request_runs)
+        violations += check_response_body(outcome, request_runs)
+        violations += check_deadline(outcome, observed)
+        violations += check_truncation(outcome, request_runs, observed)
+    violations += check_unsent(observed)
+    violations += check_revoked_keys(observed)
+    violations += check_departed_endpoints(observed)
+    violations += check_versions(observed)
+    violations += check_exits(observed)
+    violations += check_quarantine(observed)
+    violations += check_retry_budget(observed)
+    return violations + observed.repair_failures
+
+
+def check_retry_budget(observed: Observations) -> list[str]:
+    """Check that retries stay within the fleet's budget in every window."""
     seen = set()
-    again = []
-    for request, at in sorted(book.arrivals, key=lambda found: found[1]):
+    retries = []
+    for request, at in sorted(
+        observed.arrivals, key=lambda arrival: arrival[1]
+    ):
         if request in seen:
-            again.append(at)
+            retries.append(at)
         seen.add(request)
-    sent = sorted(book.sent)
+    sent = sorted(observed.sent)
     worst = max(
-        (excess_of(begin, again, sent) for begin in again), default=(0.0, "")
+        (retry_excess(begin, retries, sent) for begin in retries),
+        default=(0.0, ""),
     )
     return [worst[1]] if worst[0] > 0 else []
 
 
-def excess_of(
-    begin: float, again: list[float], sent: list[float]
+def retry_excess(
+    begin: float, retries: list[float], sent: list[float]
 ) -> tuple[float, str]:
-    """Return by how much the window from `begin` exceeds its retries."""
+    """Return by how much a window exceeds its budget, and a message."""
     end = begin + RETRY_WINDOW_S
-    found = count_between(again, begin, end)
+    found = count_between(retries, begin, end)
     requests = max(
         count_between(sent, begin - back, end - back)
         for back in (0.0, RETRY_WINDOW_S / 2, RETRY_WINDOW_S)
     )
     allowed = RETRY_RATIO * requests + RETRY_SLACK
-    words = (
+    message = (
         f"{found} retries in {RETRY_WINDOW_S:g} s from {begin:.2f},"
         f" {requests} requests allow {allowed:.0f}"
     )
-    return found - allowed, words
+    return found - allowed, message
 
 
 def count_between(times: list[float], begin: float, end: float) -> int:
-    """Return how many of some sorted times lie in a span."""
+    """Return how many of the sorted times are in [begin, end)."""
     return bisect.bisect_left(times, end) - bisect.bisect_left(times, begin)
 
 
-def check_poisons(book: Book) -> list[str]:
-    """Check that poison requests are quarantined, and no others."""
-    faults = []
-    for body, times in sorted(book.poisoned.items()):
+def check_quarantine(observed: Observations) -> list[str]:
+    """Check that poison requests, and no others, are quarantined."""
+    violations = []
+    for body, times in sorted(observed.poison_runs.items()):
         third = times[2] if len(times) > 2 else times[-1]
-        late = sum(at > third + QUARANTINE_S for at in times)
-        if late > MAX_RETRIES:
-            faults.append(f"{body} ended {late} more endpoints of {len(times)}")
-    for outcome in book.outcomes:
-        if QUARANTINED in outcome.body:
-            faults.append(f"{outcome.request} is in quarantine")
-    return faults
+        late = sum(at > third + MAX_QUARANTINE_DELAY_S for at in times)
+        if late > MAX_LATE_POISON_RUNS:
+            violations.append(
+                f"{body} crashed {late} more endpoints of {len(times)}"
+            )
+    for outcome in observed.outcomes:
+        if QUARANTINED_CODE in outcome.body:
+            violations.append(f"{outcome.request} is in quarantine")
+    return violations
 
 
-def check_counts(outcome: Outcome, runs: list[Run]) -> list[str]:
-    """Check at most one run, and that "not run" is true."""
+def check_run_count(outcome: Outcome, runs: list[Run]) -> list[str]:
+    """Check that an unsafe request ran at most once, and "not run" is true."""
     if outcome.kind != "unsafe":
         return []
-    faults = []
+    violations = []
     if len(runs) > 1:
-        faults.append(f"{outcome.request} ran {len(runs)} times")
+        violations.append(f"{outcome.request} ran {len(runs)} times")
     if outcome.status in NOT_RUN_STATUSES and runs:
-        faults.append(f"{outcome.request} got {outcome.status} and has run")
-    return faults
+        violations.append(f"{outcome.request} got {outcome.status} and has run")
+    return violations
 
 
-def check_answer(outcome: Outcome, runs: list[Run]) -> list[str]:
-    """Check that a success is the whole answer to its own request."""
+def check_response_body(outcome: Outcome, runs: list[Run]) -> list[str]:
+    """Check that a success has the complete response to its own request."""
     if not 200 <= outcome.status < 300:
         return []
     if outcome.kind == "stream":
         return check_stream(outcome)
-    bodies = {answer_body(outcome.request, r.endpoint) for r in runs}
-    if outcome.whole and outcome.body not in bodies:
+    bodies = {response_body(outcome.request, r.endpoint) for r in runs}
+    if outcome.complete and outcome.body not in bodies:
         return [f"{outcome.request} got {outcome.body!r}"]
     return []
 
 
 def check_stream(outcome: Outcome) -> list[str]:
-    """Check that events are the request's own, in order, without a gap."""
-    wanted = [event(outcome.request, n + 1) for n in range(EVENTS)]
-    whole = b"".join(wanted)
-    if outcome.whole and outcome.body != whole:
-        return [f"{outcome.request} ended as whole with {outcome.body!r}"]
-    if not whole.startswith(outcome.body):
+    """Check that the stream has the request's events in order without gaps."""
+    wanted = [
+        stream_event(outcome.request, n + 1) for n in range(STREAM_EVENTS)
+    ]
+    expected = b"".join(wanted)
+    if outcome.complete and outcome.body != expected:
+        return [f"{outcome.request} ended as complete with {outcome.body!r}"]
+    if not expected.startswith(outcome.body):
         return [f"{outcome.request} has events {outcome.body!r}"]
     return []
 
 
-def check_time(outcome: Outcome, book: Book) -> list[str]:
-    """Check that a request ended in time where nothing held its gateway."""
-    took_s = outcome.ended - outcome.began
-    if took_s <= outcome.deadline_s + SLACK_S:
+def check_deadline(outcome: Outcome, observed: Observations) -> list[str]:
+    """Check the deadline of requests at undisturbed gateways."""
+    took_s = outcome.ended_at - outcome.started_at
+    if took_s <= outcome.deadline_s + TIME_TOLERANCE_S:
         return []
-    if is_disturbed(outcome, book):
+    if is_disturbed(outcome, observed):
         return []
-    return [f"{outcome.request} took {took_s:.1f} s at {outcome.gateway}"]
+    return [
+        f"{outcome.request} took {took_s:.1f} s at gateway {outcome.gateway}"
+    ]
 
 
-def check_cut(outcome: Outcome, runs: list[Run], book: Book) -> list[str]:
-    """Check that no answer was cut off while its endpoint was sound."""
-    broken = outcome.status == 0 or not outcome.whole
-    sound = bool(runs) and all(run.sound for run in runs)
-    if not broken or not sound or is_disturbed(outcome, book):
+def check_truncation(
+    outcome: Outcome, runs: list[Run], observed: Observations
+) -> list[str]:
+    """Check that no response of an undisturbed endpoint was truncated."""
+    failed = outcome.status == 0 or not outcome.complete
+    undisturbed = bool(runs) and all(run.undisturbed for run in runs)
+    if not failed or not undisturbed or is_disturbed(outcome, observed):
         return []
-    if outcome.ended - outcome.began >= outcome.deadline_s:
+    if outcome.ended_at - outcome.started_at >= outcome.deadline_s:
         return []
-    late = book.lateness.words(outcome.began, outcome.ended, outcome.request)
+    delays = observed.lateness.describe(
+        outcome.started_at, outcome.ended_at, outcome.request
+    )
     return [
-        f"{outcome.request} was cut off at gateway {outcome.gateway} after"
-        f" {outcome.ended - outcome.began:.2f} s, begun at"
-        f" {outcome.began:.2f}, run by {[run.endpoint for run in runs]}; {late}"
+        f"{outcome.request} was truncated at gateway {outcome.gateway} after"
+        f" {outcome.ended_at - outcome.started_at:.2f} s, sent at"
+        f" {outcome.started_at:.2f}, run by"
+        f" {[run.endpoint for run in runs]}; {delays}"
     ]
 
 
 def is_disturbed(
-    outcome: Outcome, book: Book, with_control: bool = False
+    outcome: Outcome,
+    observed: Observations,
+    include_control_plane: bool = False,
 ) -> bool:
     """Return whether the gateway was disturbed while a request ran.
 
-    `with_control` counts what kept it from hearing of the replicas as well.
+    `include_control_plane` counts disturbances of the replicas too.
     """
     return any(
         (
             span.gateway == outcome.gateway
-            or (with_control and span.gateway == EVERY_GATEWAY)
+            or (include_control_plane and span.gateway == ALL_GATEWAYS)
         )
-        and span.begin <= outcome.ended
-        and span.end >= outcome.began - SLACK_S
-        for span in book.disturbed
+        and span.begin <= outcome.ended_at
+        and span.end >= outcome.started_at - TIME_TOLERANCE_S
+        for span in observed.disturbances
     )
 
 
-def check_unasked(book: Book) -> list[str]:
-    """Check that nothing ran that no caller had sent."""
-    asked = {outcome.request for outcome in book.outcomes}
+def check_unsent(observed: Observations) -> list[str]:
+    """Check that no request ran that no caller had sent."""
+    sent_requests = {outcome.request for outcome in observed.outcomes}
     return [
         f"{run.request} ran at {run.endpoint} and was never sent"
-        for run in book.runs
-        if run.request not in asked
+        for run in observed.runs
+        if run.request not in sent_requests
     ]
 
 
-def check_revoked(book: Book) -> list[str]:
-    """Check that a key that was taken away stops everywhere in time."""
-    ran = {run.request for run in book.runs}
+def check_revoked_keys(observed: Observations) -> list[str]:
+    """Check that a revoked key is refused at all gateways in time."""
+    ran = {run.request for run in observed.runs}
     return [
-        f"{outcome.request} ran {outcome.began - until:.1f} s after its key"
-        f" {outcome.key} was taken away"
-        for outcome in book.outcomes
-        if (until := book.revoked.get(outcome.key)) is not None
-        and outcome.began > until + REVOKE_S
+        f"{outcome.request} ran {outcome.started_at - revoked_at:.1f} s after its key"
+        f" {outcome.key} was revoked"
+        for outcome in observed.outcomes
+        if (revoked_at := observed.revoked_at.get(outcome.key)) is not None
+        and outcome.started_at > revoked_at + MAX_REVOCATION_S
         and outcome.request in ran
     ]
 
 
-def check_left(book: Book) -> list[str]:
+def check_departed_endpoints(observed: Observations) -> list[str]:
     """Check that no request reaches an endpoint that has left."""
-    began = {outcome.request: outcome for outcome in book.outcomes}
-    faults = []
-    for run in book.runs:
-        until = book.left.get(run.endpoint)
-        outcome = began.get(run.request)
-        if until is None or outcome is None:
+    outcomes = {outcome.request: outcome for outcome in observed.outcomes}
+    violations = []
+    for run in observed.runs:
+        left_at = observed.left_at.get(run.endpoint)
+        outcome = outcomes.get(run.request)
+        if left_at is None or outcome is None:
             continue
-        if is_disturbed(outcome, book, with_control=True):
+        if is_disturbed(outcome, observed, include_control_plane=True):
             continue
-        if run.at > until + DRAIN_S + SLACK_S / 2:
-            late_s = run.at - until
-            faults.append(
+        if run.at > left_at + DRAIN_PERIOD_S + TIME_TOLERANCE_S / 2:
+            late_s = run.at - left_at
+            violations.append(
                 f"{run.request} reached {run.endpoint} {late_s:.1f} s after"
                 " its leaving was acknowledged"
             )
-    return faults
+    return violations
 
 
-def check_versions(book: Book) -> list[str]:
-    """Check that versions never go back and none acknowledged is lost."""
-    faults = []
+def check_versions(observed: Observations) -> list[str]:
+    """Check that versions never go back and acknowledged ones are kept."""
+    violations = []
     newest: dict[tuple[int, int], int] = {}
-    for gateway, incarnation, version in book.versions:
+    for gateway, incarnation, version in observed.versions_seen:
         known = newest.get((gateway, incarnation), -1)
         if version < known:
-            faults.append(f"gateway {gateway} went from {known} to {version}")
+            violations.append(
+                f"gateway {gateway} went from {known} to {version}"
+            )
         newest[gateway, incarnation] = max(known, version)
-    highest = max(book.acknowledged, default=-1)
-    if book.read_back is None:
-        faults.append("the configuration could not be read at the end")
+    highest = max(observed.acknowledged_at, default=-1)
+    if observed.read_back is None:
+        violations.append("the configuration could not be read after the soak")
     else:
-        version, source = book.read_back
+        version, source = observed.read_back
         if version < highest:
-            faults.append(f"{highest} was acknowledged, {version} is read")
-        if source not in book.sources[version]:
-            faults.append(f"version {version} reads as {source!r}")
-    for gateway, version in book.final_versions.items():
+            violations.append(f"{highest} was acknowledged, {version} is read")
+        if source not in observed.sources_by_version[version]:
+            violations.append(f"version {version} reads as {source!r}")
+    for gateway, version in observed.final_versions.items():
         if version < highest:
-            faults.append(f"gateway {gateway} ends with version {version}")
-    return faults
+            violations.append(
+                f"gateway {gateway} has version {version} at the end"
+            )
+    return violations
 
 
-def check_exits(book: Book) -> list[str]:
-    """Check that a process that is told to stop ends well and in time."""
+def check_exits(observed: Observations) -> list[str]:
+    """Check that each process exits with 0 in time after SIGTERM."""
     return [
-        f"{found.name} ended with {found.code} after {found.took_s:.1f} s,"
+        f"{found.name} exited with {found.code} after {found.took_s:.1f} s,"
         f" stopped {found.age_s:.2f} s after its start, {found.disposition}"
-        for found in book.exits
-        if found.code != 0 or found.took_s > GRACE_S + SLACK_S
+        for found in observed.exits
+        if found.code != 0 or found.took_s > MAX_SHUTDOWN_S + TIME_TOLERANCE_S
     ]
 
 
-def answer_body(request: str, endpoint: str) -> bytes:
-    """Return what an endpoint answers to a request."""
+def response_body(request: str, endpoint: str) -> bytes:
+    """Return an endpoint's response body for a request."""
     return f"{request} by {endpoint}".encode()
 
 
-def event(request: str, number: int) -> bytes:
-    """Return one event of the answer to a request."""
+def stream_event(request: str, number: int) -> bytes:
+    """Return one event of the response to a stream request."""
     return f"id: {number}\ndata: {request} {number}\n\n".encode()
--- a/features/soak/callers.py
+++ b/features/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: threads that keep a connection as long as it lives."""
+"""Callers of a soak: threads that send requests on kept-alive connections."""
 
 import contextlib
 import http.client
@@ -15,120 +15,122 @@
 
 KINDS = ("safe", "unsafe", "stream")
 DEADLINE_S = 3.0
-# Beyond its deadline a caller still waits this long for the last bytes.
-PATIENCE_S = 1.5
-# Requests on one connection before a caller asks where to connect anew.
-PER_CONNECTION = 12
-PAUSE_S = (0.0, 0.12)
-ASK_TIMEOUT_S = 1.0
+# How long after the deadline a caller still waits for the last bytes.
+READ_GRACE_S = 1.5
+# Requests on one connection before a caller looks up the addresses again.
+REQUESTS_PER_CONNECTION = 12
+REQUEST_INTERVAL_S = (0.0, 0.12)
+LOOKUP_TIMEOUT_S = 1.0
 
 
 @attrs.define(eq=False)
 class Caller:
-    """One caller; `gateways` maps addresses to the places of gateways."""
+    """One caller; `gateways` maps addresses to the indexes of gateways."""
 
     number: int
-    book: audit.Book
+    observed: audit.Observations
     directory: list[str]
     gateways: dict[str, int]
     stopping: threading.Event
     rng: random.Random
     keys: list[str]
     count: int = 0
-    known: list[str] = attrs.Factory(list)
+    resolved_addresses: list[str] = attrs.Factory(list)
     connection: http.client.HTTPConnection | None = None
     address: str = ""
-    left: int = 0
+    requests_left: int = 0
 
     def run(self) -> None:
-        """Ask until told to stop."""
+        """Send requests until the soak stops."""
         while not self.stopping.is_set():
-            if self.connection is None or self.left <= 0:
+            if self.connection is None or self.requests_left <= 0:
                 self.connect()
             if self.connection is not None:
-                self.ask()
-            time.sleep(self.rng.uniform(*PAUSE_S))
-        self.drop()
+                self.send_request()
+            time.sleep(self.rng.uniform(*REQUEST_INTERVAL_S))
+        self.close_connection()
 
     def connect(self) -> None:
-        """Ask any gateway where to connect, and take one of its answers."""
-        self.drop()
-        # A gateway that is down leaves the earlier answer in use.
+        """Look up the gateways' addresses at any gateway and connect to one."""
+        self.close_connection()
+        # If that gateway is down, the addresses looked up before are used.
         with contextlib.suppress(
             OSError, http.client.HTTPException, ValueError
         ):
-            self.known = self.resolve() or self.known
-        if not self.known:
+            self.resolved_addresses = (
+                self.fetch_addresses() or self.resolved_addresses
+            )
+        if not self.resolved_addresses:
             return
-        self.address = self.rng.choice(self.known)
+        self.address = self.rng.choice(self.resolved_addresses)
         host, port = self.address.split(":")
         self.connection = http.client.HTTPConnection(
-            host, int(port), timeout=DEADLINE_S + PATIENCE_S
+            host, int(port), timeout=DEADLINE_S + READ_GRACE_S
         )
-        self.left = PER_CONNECTION
+        self.requests_left = REQUESTS_PER_CONNECTION
 
-    def resolve(self) -> list[str]:
-        """Return the addresses that one gateway names."""
+    def fetch_addresses(self) -> list[str]:
+        """Return the addresses that one gateway's directory lists."""
         host, port = self.rng.choice(self.directory).split(":")
-        asking = http.client.HTTPConnection(
-            host, int(port), timeout=ASK_TIMEOUT_S
+        connection = http.client.HTTPConnection(
+            host, int(port), timeout=LOOKUP_TIMEOUT_S
         )
         try:
-            asking.request("GET", "/v1/addresses?zone=z0")
-            answer = asking.getresponse()
-            body = answer.read()
+            connection.request("GET", "/v1/addresses?zone=z0")
+            response = connection.getresponse()
+            body = response.read()
         finally:
-            asking.close()
-        return json.loads(body)["addresses"] if answer.status == 200 else []
+            connection.close()
+        return json.loads(body)["addresses"] if response.status == 200 else []
 
-    def ask(self) -> None:
-        """Send one request and note what came of it."""
+    def send_request(self) -> None:
+        """Send one request and record its outcome."""
         self.count += 1
-        self.left -= 1
+        self.requests_left -= 1
         request = f"c{self.number}-{self.count}"
         kind = self.rng.choice(KINDS)
         key = self.rng.choice(self.keys)
-        began = time.monotonic()
-        status, whole, body = self.exchange(request, kind, key)
-        self.book.outcomes.append(
+        started_at = time.monotonic()
+        status, complete, body = self.exchange(request, kind, key)
+        self.observed.outcomes.append(
             audit.Outcome(
                 request=request,
                 kind=kind,
                 key=key,
                 gateway=self.gateways[self.address],
-                began=began,
-                ended=time.monotonic(),
+                started_at=started_at,
+                ended_at=time.monotonic(),
                 deadline_s=DEADLINE_S,
                 status=status,
-                whole=whole,
+                complete=complete,
                 body=body,
             )
         )
-        if not whole:
-            self.drop()
+        if not complete:
+            self.close_connection()
 
     def exchange(
-        self, request, kind, key, sent=b"body"
+        self, request, kind, key, content=b"body"
     ) -> tuple[int, bool, bytes]:
-        """Return status, whether the answer is whole, and its body."""
+        """Return status, whether the response is complete, and its body."""
         headers = {
             "Host": gatewaybed.HOST,
             "X-Request-Id": request,
             "X-Deadline-Ms": str(int(DEADLINE_S * 1000)),
             "X-Api-Key": key,
         }
-        self.book.sent.append(time.monotonic())
+        self.observed.sent.append(time.monotonic())
         try:
-            self.connection.request("POST", f"/{kind}/x", sent, headers)
-            answer = self.connection.getresponse()
+            self.connection.request("POST", f"/{kind}/x", content, headers)
+            response = self.connection.getresponse()
             try:
-                return answer.status, True, answer.read()
-            except http.client.IncompleteRead as broken:
-                return answer.status, False, broken.partial
+                return response.status, True, response.read()
+            except http.client.IncompleteRead as error:
+                return response.status, False, error.partial
         except (http.client.HTTPException, OSError):
             return 0, False, b""
 
-    def drop(self) -> None:
+    def close_connection(self) -> None:
         """Close the connection, if there is one."""
         if self.connection is not None:
             self.connection.close()
@@ -136,54 +138,56 @@
 
 
 class PoisonCaller(Caller):
-    """Sends a poison request again and again, each time to any gateway."""
+    """Sends a poison request repeatedly, each time to any gateway."""
 
-    def ask(self) -> None:
-        """Send it once; nobody cares for the answer."""
+    def send_request(self) -> None:
+        """Send the poison request once and ignore the response."""
         self.count += 1
         request = f"poison{self.number}-{self.count}"
         self.exchange(request, "safe", self.keys[0], b"poison %d" % self.number)
-        self.drop()
+        self.close_connection()
 
 
 @attrs.define(eq=False)
-class VersionWatch:
-    """Notes the versions that gateways have in force, by their starts."""
+class VersionMonitor:
+    """Records versions in force at gateways, per start of the process."""
 
-    book: audit.Book
+    observed: audit.Observations
     ready: list[str]
-    starts: list
+    programs: list
     stopping: threading.Event
 
     def run(self) -> None:
-        """Look until told to stop."""
+        """Poll all gateways until the soak stops."""
         while not self.stopping.is_set():
-            for place in range(len(self.ready)):
-                self.look(place)
+            for index in range(len(self.ready)):
+                self.record_version(index)
             time.sleep(0.1)
 
-    def look(self, place: int) -> int | None:
-        """Note and return a gateway's version, None without an answer."""
-        before = self.starts[place].starts
-        version = read_version(self.ready[place])
-        if version is not None and self.starts[place].starts == before:
-            self.book.versions.append((place, before, version))
+    def record_version(self, index: int) -> int | None:
+        """Record and return a gateway's version; None without a response."""
+        starts = self.programs[index].starts
+        version = read_version(self.ready[index])
+        if version is not None and self.programs[index].starts == starts:
+            self.observed.versions_seen.append((index, starts, version))
         return version
 
 
 def read_version(address: str) -> int | None:
-    """Return the version in force at a gateway, None without an answer."""
+    """Return the version in force at a gateway; None without a response."""
     host, port = address.split(":")
-    asking = http.client.HTTPConnection(host, int(port), timeout=ASK_TIMEOUT_S)
+    connection = http.client.HTTPConnection(
+        host, int(port), timeout=LOOKUP_TIMEOUT_S
+    )
     try:
-        asking.request("GET", "/v1/ready")
-        return json.loads(asking.getresponse().read())["version"]
+        connection.request("GET", "/v1/ready")
+        return json.loads(connection.getresponse().read())["version"]
     except (OSError, http.client.HTTPException, ValueError):
         return None
     finally:
-        asking.close()
+        connection.close()
 
 
-def key_names() -> list[str]:
-    """Return the keys that there are at the beginning."""
+def initial_keys() -> list[str]:
+    """Return the API keys of the first configuration version."""
     return [f"soak-key-{number}" for number in range(plan.KEY_COUNT)]
--- a/features/soak/driver.py
+++ b/features/soak/driver.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a plan against a running fleet."""
+"""Injects the faults of a plan into a running fleet."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,231 +18,246 @@
 from features.soak import plan
 from features.support import gatewaybed
 
-SLOW_SYNC_S = 0.4
+SLOW_DISK_SYNC_S = 0.4
 CLOCK_STEP_S = {"forward": 3_600.0, "back": -3_600.0}
 OPERATOR_TIMEOUT_S = 2.0
-OPERATOR_TRIES = 30
-STORM_VERSIONS = 12
-STORM_GAP_S = 0.06
-SHED_SHARE = 0.85
-# After a fault of the replicas or the ways to them gateways may be out of
-# touch for an election and a link's timeouts.
-CONTROL_AFTER_S = 4.0
-GATEWAY_AFTER_S = 2.0
-DOWN_S = 0.3
-# Replicas that were replaced or lost their disk vote within this time of their
-# start; the next loss waits for them.
-REPAIR_S = 10.0
-REPAIR_POLL_S = 0.3
-# How soon processes start depends on the machine.
-REPLICAS_START_S = 30.0
+OPERATOR_ATTEMPTS = 30
+BURST_VERSIONS = 12
+BURST_INTERVAL_S = 0.06
+SHED_FRACTION = 0.85
+# After a fault of replicas or of their links, gateways may lack contact with
+# the control plane for an election and the timeouts of a link.
+CONTROL_RECOVERY_S = 4.0
+GATEWAY_RECOVERY_S = 2.0
+ALL_DOWN_S = 0.3
+# Replicas that were replaced or wiped vote within this time of their start;
+# the next loss is delayed until they do.
+REPAIR_TIMEOUT_S = 10.0
+REPAIR_POLL_INTERVAL_S = 0.3
+# Generous: process start-up time depends on the machine.
+REPLICAS_START_TIMEOUT_S = 30.0
 
 
 @attrs.define(eq=False)
-class Driver:
-    """Knows how each kind of fault is brought about."""
+class FaultInjector:
+    """Injects faults; `do_KIND` injects a fault of that kind."""
 
     fleet: fleet_lib.Fleet
-    places: list[endpoints_lib.Place]
-    book: audit.Book
+    slots: list[endpoints_lib.EndpointSlot]
+    observed: audit.Observations
     link: object
     rng: random.Random
     idle_routes: int = 0
     version: int = 0
-    # Time by which faults come later than planned.
+    # How much later than planned faults are injected.
     delay_s: float = 0.0
-    keys: list[str] = attrs.Factory(callers.key_names)
+    keys: list[str] = attrs.Factory(callers.initial_keys)
 
-    async def carry_out(self, faults: list[plan.Fault], began: float) -> None:
-        """Begin each fault at its time; they end on their own."""
-        under_way = []
+    async def run_faults(
+        self, faults: list[plan.Fault], started_at: float
+    ) -> None:
+        """Inject each fault at its time; wait until all have ended."""
+        running_faults = []
         losses = []
         for fault in faults:
-            due_at = began + self.delay_s + fault.at
+            due_at = started_at + self.delay_s + fault.at
             await asyncio.sleep(max(0.0, due_at - time.monotonic()))
-            if plan.is_loss_after(fault, losses):
+            if plan.follows_earlier_loss(fault, losses):
                 await self.wait_for_repair()
-            losses += [fault] if fault.kind in plan.LOSSES else []
+            losses += [fault] if fault.kind in plan.LOSS_KINDS else []
             print(
                 f"{fault.at:6.2f} {fault.kind.value} {fault.target}"
-                f" {fault.way} for {fault.for_s:.1f} s",
+                f" {fault.mode} for {fault.duration_s:.1f} s",
                 flush=True,
             )
             name = "do_" + fault.kind.name.lower()
-            act = getattr(self, name)(fault)
-            under_way.append(asyncio.ensure_future(act))
-        await asyncio.gather(*under_way)
+            action = getattr(self, name)(fault)
+            running_faults.append(asyncio.ensure_future(action))
+        await asyncio.gather(*running_faults)
 
     async def wait_for_repair(self) -> None:
-        """Put off a loss until the replicas lost before it are replaced.
+        """Delay a loss until the replicas lost before it are replaced.
 
-        More losses at once than are promised to be survived prove nothing.
+        The fleet need not survive more simultaneous losses than it tolerates,
+        so a violation would prove nothing.
         """
-        began = time.monotonic()
+        started_at = time.monotonic()
         fleet = self.fleet
-        if not await holds_within(fleet.has_started, REPLICAS_START_S):
-            self.book.unrepaired.append(
-                f"replicas did not start within {REPLICAS_START_S:g} s"
+        if not await becomes_true_within(
+            fleet.has_started, REPLICAS_START_TIMEOUT_S
+        ):
+            self.observed.repair_failures.append(
+                f"replicas did not start within {REPLICAS_START_TIMEOUT_S:g} s"
             )
-        elif not await holds_within(fleet.tolerates_losses, REPAIR_S):
-            self.book.unrepaired.append(
-                f"lost replicas were not replaced within {REPAIR_S:g} s"
+        elif not await becomes_true_within(
+            fleet.has_full_quorum, REPAIR_TIMEOUT_S
+        ):
+            self.observed.repair_failures.append(
+                f"lost replicas were not replaced within {REPAIR_TIMEOUT_S:g} s"
             )
-        self.delay_s += time.monotonic() - began
+        self.delay_s += time.monotonic() - started_at
 
-    def disturb(self, gateway: int, fault: plan.Fault, after_s: float) -> None:
-        """Note that a gateway is disturbed by a fault that begins now."""
+    def record_disturbance(
+        self, gateway: int, fault: plan.Fault, after_s: float
+    ) -> None:
+        """Record that a fault that begins now disturbs a gateway."""
         now = time.monotonic()
-        self.book.disturbed.append(
-            audit.Span(
-                gateway=gateway, begin=now, end=now + fault.for_s + after_s
+        self.observed.disturbances.append(
+            audit.Disturbance(
+                gateway=gateway, begin=now, end=now + fault.duration_s + after_s
             )
         )
 
     # --- gateways --------------------------------------------------------
 
     async def do_kill_gateway(self, fault):
-        """Kill a gateway and start it again."""
+        """Kill a gateway and restart it."""
         program = self.fleet.gateways[fault.target]
-        self.disturb(fault.target, fault, GATEWAY_AFTER_S)
+        self.record_disturbance(fault.target, fault, GATEWAY_RECOVERY_S)
         program.kill()
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         self.restart(program)
 
     async def do_pause_gateway(self, fault):
-        """Suspend a gateway for some time."""
-        self.disturb(fault.target, fault, GATEWAY_AFTER_S)
-        await self.pause(self.fleet.gateways[fault.target], fault.for_s)
+        """Suspend a gateway for the duration of the fault."""
+        self.record_disturbance(fault.target, fault, GATEWAY_RECOVERY_S)
+        await self.pause(self.fleet.gateways[fault.target], fault.duration_s)
 
     async def do_stop_gateway(self, fault):
-        """Tell a gateway to stop, and start it once it is gone."""
+        """Stop a gateway with SIGTERM and restart it after its exit."""
         await self.stop_and_start(self.fleet.gateways[fault.target], fault)
 
     async def do_reload_gateway(self, fault):
-        """Let a gateway read its settings again; it does not end by that."""
+        """Send SIGHUP to a gateway, which must not end it."""
         self.fleet.gateways[fault.target].signal(signal.SIGHUP)
 
     # --- replicas --------------------------------------------------------
 
     async def do_kill_replica(self, fault):
-        """Kill a replica and start it again."""
-        self.disturb(audit.EVERY_GATEWAY, fault, CONTROL_AFTER_S)
+        """Kill a replica and restart it."""
+        self.record_disturbance(audit.ALL_GATEWAYS, fault, CONTROL_RECOVERY_S)
         program = self.fleet.replicas[fault.target]
         program.kill()
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         self.restart(program)
 
     async def do_pause_replica(self, fault):
-        """Suspend a replica for some time."""
-        self.disturb(audit.EVERY_GATEWAY, fault, CONTROL_AFTER_S)
-        await self.pause(self.fleet.replicas[fault.target], fault.for_s)
+        """Suspend a replica for the duration of the fault."""
+        self.record_disturbance(audit.ALL_GATEWAYS, fault, CONTROL_RECOVERY_S)
+        await self.pause(self.fleet.replicas[fault.target], fault.duration_s)
 
     async def do_stop_replica(self, fault):
-        """Tell a replica to stop, and start it once it is gone."""
-        self.disturb(audit.EVERY_GATEWAY, fault, CONTROL_AFTER_S)
+        """Stop a replica with SIGTERM and restart it after its exit."""
+        self.record_disturbance(audit.ALL_GATEWAYS, fault, CONTROL_RECOVERY_S)
         await self.stop_and_start(self.fleet.replicas[fault.target], fault)
 
     async def do_kill_all_replicas(self, fault):
-        """Kill all replicas at once; their disks stay."""
-        self.disturb(audit.EVERY_GATEWAY, fault, CONTROL_AFTER_S)
+        """Kill and restart all replicas at once; their disks stay."""
+        self.record_disturbance(audit.ALL_GATEWAYS, fault, CONTROL_RECOVERY_S)
         for program in self.fleet.replicas:
             program.kill()
-        await asyncio.sleep(DOWN_S)
+        await asyncio.sleep(ALL_DOWN_S)
         for program in self.fleet.replicas:
             self.restart(program)
 
     async def do_wipe_replica(self, fault):
-        """Kill a replica and take its disk."""
-        self.disturb(audit.EVERY_GATEWAY, fault, CONTROL_AFTER_S)
+        """Kill a replica, delete its data folder and restart it."""
+        self.record_disturbance(audit.ALL_GATEWAYS, fault, CONTROL_RECOVERY_S)
         program = self.fleet.replicas[fault.target]
         program.kill()
         self.fleet.wipe(fault.target)
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         self.restart(program)
 
     async def do_replace_replica(self, fault):
-        """Take a replica's VM for good; another one comes at a new address."""
-        self.disturb(audit.EVERY_GATEWAY, fault, CONTROL_AFTER_S)
-        if fault.way == "planned":
+        """Replace a replica by one on another vm, with a new address."""
+        self.record_disturbance(audit.ALL_GATEWAYS, fault, CONTROL_RECOVERY_S)
+        if fault.mode == "planned":
             old = await self.fleet.replace(fault.target)
-            await asyncio.sleep(fault.for_s)
-            self.book.exits.append(await old.stop())
+            await asyncio.sleep(fault.duration_s)
+            self.observed.exits.append(await old.stop())
         else:
             self.fleet.replicas[fault.target].kill()
-            await asyncio.sleep(fault.for_s)
+            await asyncio.sleep(fault.duration_s)
             await self.fleet.replace(fault.target)
         self.link.learn(tuple(self.fleet.seeds()))
 
     async def do_storage(self, fault):
-        """Let a replica's disk be slow or full for some time."""
-        self.disturb(audit.EVERY_GATEWAY, fault, CONTROL_AFTER_S)
-        slow = {"sync_s": SLOW_SYNC_S}
+        """Make a replica's disk slow or full for the duration of the fault."""
+        self.record_disturbance(audit.ALL_GATEWAYS, fault, CONTROL_RECOVERY_S)
+        slow = {"sync_s": SLOW_DISK_SYNC_S}
         full = {"full": True}
-        ways = slow if fault.way == "slow" else full
-        self.fleet.misbehave(fault.target, **ways)
-        await asyncio.sleep(fault.for_s)
-        self.fleet.misbehave(fault.target)
+        faults = slow if fault.mode == "slow" else full
+        self.fleet.set_faults(fault.target, **faults)
+        await asyncio.sleep(fault.duration_s)
+        self.fleet.set_faults(fault.target)
 
     async def do_wall_clock(self, fault):
-        """Let the time of day jump at a replica and jump back again."""
-        step_s = CLOCK_STEP_S[fault.way]
-        self.fleet.misbehave(fault.target, wall_s=step_s)
-        await asyncio.sleep(fault.for_s)
-        self.fleet.misbehave(fault.target)
+        """Step a replica's wall clock, and step it back afterwards."""
+        step_s = CLOCK_STEP_S[fault.mode]
+        self.fleet.set_faults(fault.target, wall_s=step_s)
+        await asyncio.sleep(fault.duration_s)
+        self.fleet.set_faults(fault.target)
 
     async def do_replica_link(self, fault):
-        """Let the way to a replica misbehave for some time."""
-        self.disturb(audit.EVERY_GATEWAY, fault, CONTROL_AFTER_S)
-        await self.bend(self.fleet.proxies[fault.target], fault)
+        """Disturb the link to a replica for the duration of the fault."""
+        self.record_disturbance(audit.ALL_GATEWAYS, fault, CONTROL_RECOVERY_S)
+        await self.fault_proxy(self.fleet.proxies[fault.target], fault)
 
     # --- endpoints -------------------------------------------------------
 
     async def do_endpoint_link(self, fault):
-        """Let the way to an endpoint misbehave for some time."""
-        place = self.places[fault.target]
-        # What runs now and until later may lose its answer on the way.
-        until = time.monotonic() + fault.for_s + callers.DEADLINE_S
-        place.endpoint.disturbed_until = until
-        self.unsound(place.endpoint.start_mark, callers.DEADLINE_S)
-        await self.bend(place.proxy, fault)
+        """Disturb the link to an endpoint for the duration of the fault."""
+        slot = self.slots[fault.target]
+        # Responses of requests that run now or until then may be lost.
+        until = time.monotonic() + fault.duration_s + callers.DEADLINE_S
+        slot.endpoint.disturbed_until = until
+        self.mark_runs_disturbed(
+            slot.endpoint.incarnation_id, callers.DEADLINE_S
+        )
+        await self.fault_proxy(slot.proxy, fault)
 
     async def do_crash_endpoint(self, fault):
-        """Crash an endpoint; another one takes its address later."""
-        place = self.places[fault.target]
-        self.unsound(place.endpoint.start_mark, callers.DEADLINE_S)
-        await place.crash(fault.for_s)
-        await place.begin()
+        """Crash an endpoint and start its next incarnation later."""
+        slot = self.slots[fault.target]
+        self.mark_runs_disturbed(
+            slot.endpoint.incarnation_id, callers.DEADLINE_S
+        )
+        await slot.crash(fault.duration_s)
+        await slot.start()
 
     async def do_leave_endpoint(self, fault):
-        """Let an endpoint leave; another one takes its address later."""
-        place = self.places[fault.target]
-        await place.leave()
-        self.unsound(place.endpoint.start_mark, callers.DEADLINE_S)
-        await place.crash(fault.for_s)
-        await place.begin()
+        """Let an endpoint leave and start its next incarnation later."""
+        slot = self.slots[fault.target]
+        await slot.leave()
+        self.mark_runs_disturbed(
+            slot.endpoint.incarnation_id, callers.DEADLINE_S
+        )
+        await slot.crash(fault.duration_s)
+        await slot.start()
 
     async def do_misbehave(self, fault):
-        """Let an endpoint misbehave in one way for some time."""
-        endpoint = self.places[fault.target].endpoint
-        endpoint.way = fault.way
-        await asyncio.sleep(fault.for_s)
-        endpoint.way = ""
+        """Make an endpoint misbehave for the duration of the fault."""
+        endpoint = self.slots[fault.target].endpoint
+        endpoint.mode = fault.mode
+        await asyncio.sleep(fault.duration_s)
+        endpoint.mode = ""
 
     async def do_shed_endpoints(self, fault):
-        """Let all endpoints reject most requests for some time."""
-        for share in (SHED_SHARE, 0.0):
-            for place in self.places:
-                place.endpoint.shed_share = share
-            await asyncio.sleep(fault.for_s if share else 0.0)
-
-    def unsound(self, endpoint: str, seconds: float) -> None:
-        """Count what an endpoint ran lately as disturbed."""
+        """Make all endpoints reject most requests during the fault."""
+        for share in (SHED_FRACTION, 0.0):
+            for slot in self.slots:
+                slot.endpoint.shed_fraction = share
+            await asyncio.sleep(fault.duration_s if share else 0.0)
+
+    def mark_runs_disturbed(self, endpoint: str, seconds: float) -> None:
+        """Mark the runs of an endpoint in the last seconds as disturbed."""
         now = time.monotonic()
-        self.book.runs = [
-            attrs.evolve(run, sound=False)
+        self.observed.runs = [
+            attrs.evolve(run, undisturbed=False)
             if run.endpoint == endpoint and run.at > now - seconds
             else run
-            for run in self.book.runs
+            for run in self.observed.runs
         ]
 
     # --- operators -------------------------------------------------------
@@ -250,38 +265,38 @@
     async def do_version(self, fault):
         """Put the next version in force."""
         del fault
-        await self.put(self.next_config(), "plain")
+        await self.put_config(self.next_config(), "plain")
 
-    async def do_storm(self, fault):
+    async def do_version_burst(self, fault):
         """Put many versions in force in quick succession."""
         del fault
         puts = []
-        for _ in range(STORM_VERSIONS):
+        for _ in range(BURST_VERSIONS):
             config = self.next_config()
-            puts.append(asyncio.ensure_future(self.put(config, "storm")))
-            await asyncio.sleep(STORM_GAP_S)
+            puts.append(asyncio.ensure_future(self.put_config(config, "storm")))
+            await asyncio.sleep(BURST_INTERVAL_S)
         await asyncio.gather(*puts)
 
-    async def do_race(self, fault):
-        """Let two operators send different things under one number."""
+    async def do_version_race(self, fault):
+        """Put two different configurations under one version number at once."""
         del fault
         config = self.next_config()
         await asyncio.gather(
-            self.put(config, "left"), self.put(config, "right")
+            self.put_config(config, "left"), self.put_config(config, "right")
         )
 
     async def do_revoke(self, fault):
-        """Take a key away."""
-        key = callers.key_names()[fault.target]
+        """Revoke an API key."""
+        key = callers.initial_keys()[fault.target]
         if key not in self.keys:
             return
         self.keys.remove(key)
-        acknowledged_at = await self.put(self.next_config(), "revoke")
+        acknowledged_at = await self.put_config(self.next_config(), "revoke")
         if acknowledged_at is not None:
-            self.book.revoked[key] = acknowledged_at
+            self.observed.revoked_at[key] = acknowledged_at
 
     def next_config(self) -> routes.RouteConfig:
-        """Return the next version with the keys that are left."""
+        """Return the next version with the keys that are not revoked."""
         self.version += 1
         holder = routes.KeyHolder(workspace="acme", keys=tuple(self.keys))
         config = gatewaybed.config(self.version, holders=(holder,))
@@ -291,58 +306,62 @@
         )
         return attrs.evolve(config, routes=config.routes + idle)
 
-    async def put(self, config: routes.RouteConfig, note: str) -> float | None:
-        """Send a version until it is acknowledged; return when that was."""
-        words = {"version": config.version, "note": note}
-        source = json.dumps(words).encode()
-        self.book.sources[config.version].add(source)
+    async def put_config(
+        self, config: routes.RouteConfig, note: str
+    ) -> float | None:
+        """Send a version until it is acknowledged; return the time, or None."""
+        content = {"version": config.version, "note": note}
+        source = json.dumps(content).encode()
+        self.observed.sources_by_version[config.version].add(source)
         message = messages.PutRoutes(config=config, source=source)
-        for _ in range(OPERATOR_TRIES):
+        for _ in range(OPERATOR_ATTEMPTS):
             answer = await self.link.call(message, OPERATOR_TIMEOUT_S)
             if answer.is_ok() and isinstance(answer.ok, messages.RoutesCopy):
                 now = time.monotonic()
-                self.book.acknowledged.setdefault(config.version, now)
+                self.observed.acknowledged_at.setdefault(config.version, now)
                 return now
             await asyncio.sleep(0.2)
         return None
 
-    # --- means -----------------------------------------------------------
+    # --- helpers -----------------------------------------------------------
 
-    async def bend(self, proxy, fault) -> None:
-        """Let a proxy misbehave for the length of a fault."""
-        proxy.set_way(fault.way)
-        await asyncio.sleep(fault.for_s)
-        proxy.set_way("")
+    async def fault_proxy(self, proxy, fault) -> None:
+        """Set a proxy's fault mode for the duration of a fault."""
+        proxy.set_mode(fault.mode)
+        await asyncio.sleep(fault.duration_s)
+        proxy.set_mode("")
 
     async def pause(self, program: fleet_lib.Program, seconds: float) -> None:
-        """Suspend a process for some time."""
+        """Suspend a process for some seconds."""
         program.signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         program.signal(signal.SIGCONT)
 
     async def stop_and_start(self, program, fault) -> None:
-        """Tell a process to stop; start it a moment after it has ended."""
+        """Stop a process with SIGTERM; restart it after its exit."""
         starts = program.starts
         was_running = program.is_running
-        ended = await program.stop()
+        process_exit = await program.stop()
         # Another fault may have killed or suspended it meanwhile.
-        was_killed = ended.code == -signal.SIGKILL
+        was_killed = process_exit.code == -signal.SIGKILL
         if was_running and starts == program.starts and not was_killed:
-            self.book.exits.append(ended)
-        await asyncio.sleep(fault.for_s)
+            self.observed.exits.append(process_exit)
+        await asyncio.sleep(fault.duration_s)
         self.restart(program)
 
     def restart(self, program: fleet_lib.Program) -> None:
-        """Start a process that has ended, unless another fault has."""
+        """Start a process unless another fault has restarted it."""
         if not program.is_running:
             program.start()
 
 
-async def holds_within(condition: Callable[[], bool], most_s: float) -> bool:
-    """Wait for a condition, which may block; return whether it holds."""
-    end = time.monotonic() + most_s
+async def becomes_true_within(
+    condition: Callable[[], bool], timeout_s: float
+) -> bool:
+    """Wait for a condition, which may block; return whether it came true."""
+    end = time.monotonic() + timeout_s
     while not await asyncio.to_thread(condition):
         if time.monotonic() > end:
             return False
-        await asyncio.sleep(REPAIR_POLL_S)
+        await asyncio.sleep(REPAIR_POLL_INTERVAL_S)
     return True
--- a/features/soak/endpoints.py
+++ b/features/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of a soak: they note what runs and misbehave when told to."""
+"""Endpoints of a soak that record each run and can be made to misbehave."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,19 +15,20 @@
 from features.support import gatewaybed
 
 SERVICE = "shop"
-ANNOUNCE_EVERY_S = 0.6
+ANNOUNCE_INTERVAL_S = 0.6
 ANNOUNCE_TIMEOUT_S = 1.0
-MISBEHAVING_SHARE = 0.4
-WORK_S = (0.002, 0.06)
-MS = 1000
-EVENT_GAP_S = 0.03
-# A request with such a body ends the endpoint that runs it, after a moment.
+MISBEHAVIOUR_PROBABILITY = 0.4
+SERVICE_TIME_RANGE_S = (0.002, 0.06)
+MS_PER_S = 1000
+EVENT_INTERVAL_S = 0.03
+# A request whose body starts with this crashes the endpoint that runs it,
+# POISON_RUN_S after it begins to run.
 POISON = b"poison"
-POISON_RUNS_S = 0.03
-POISONED_S = 1.0
-NOT_RUN = ("reject",)
-STREAM_WAYS = ("fail", "reject", "reset", "stall", "die_in_event")
-PLAIN_WAYS = (
+POISON_RUN_S = 0.03
+POISON_DOWNTIME_S = 1.0
+MODES_NOT_RUN = ("reject",)
+STREAM_MODES = ("fail", "reject", "reset", "stall", "die_in_event")
+PLAIN_MODES = (
     "fail",
     "reject",
     "reset",
@@ -39,26 +40,30 @@
 
 
 class SoakEndpoint(gatewaybed.ScriptedEndpoint):
-    """Answers with what names the request and the endpoint."""
+    """Sends responses that name the request and the endpoint incarnation."""
 
     def __init__(
-        self, name: str, start: str, book: audit.Book, rng: random.Random
+        self,
+        name: str,
+        incarnation_id: str,
+        observed: audit.Observations,
+        rng: random.Random,
     ):
         super().__init__(name, [])
-        # The name may be that of an earlier start; this one's mark is not.
-        self.start_mark = start
-        self.book = book
+        # The name may be shared with an earlier incarnation; the id is unique.
+        self.incarnation_id = incarnation_id
+        self.observed = observed
         self.rng = rng
-        self.way = ""
-        # Share of requests that it rejects as it is full.
-        self.shed_share = 0.0
+        self.mode = ""
+        # Fraction of requests rejected as if the endpoint were full.
+        self.shed_fraction = 0.0
         self.disturbed_until = 0.0
         self.writers: set[asyncio.StreamWriter] = set()
-        # Called when a poison request runs here.
+        # Called when a poison request runs on this endpoint.
         self.on_poison = lambda: None
 
     async def serve(self, reader, writer):
-        """Serve a connection and know of it."""
+        """Serve a connection and track its writer."""
         self.writers.add(writer)
         try:
             await super().serve(reader, writer)
@@ -66,11 +71,11 @@
             self.writers.discard(writer)
 
     async def serve_one(self, reader, writer):
-        """Run one request, unless it is meant for another endpoint."""
+        """Run one request, unless it is addressed to another endpoint."""
         seen = await self.read_request(reader)
         request = seen.headers.get("x-request-id", "")
         if request:
-            self.book.arrivals.append((request, time.monotonic()))
+            self.observed.arrivals.append((request, time.monotonic()))
         if seen.headers.get("x-expected-endpoint", self.name) != self.name:
             writer.write(
                 self.head(
@@ -82,79 +87,81 @@
             )
             return True
         if seen.body.startswith(POISON):
-            self.book.poisoned[seen.body].append(time.monotonic())
-            await asyncio.sleep(POISON_RUNS_S)
+            self.observed.poison_runs[seen.body].append(time.monotonic())
+            await asyncio.sleep(POISON_RUN_S)
             self.on_poison()
             return False
         streams = "/stream/" in seen.line
-        way = self.draw_way(STREAM_WAYS if streams else PLAIN_WAYS)
-        if way not in NOT_RUN:
-            self.note(seen, sound=not way)
-        await self.pause(seen.headers, self.rng.uniform(*WORK_S))
-        act = getattr(
-            self, "do_" + (way or ("stream" if streams else "answer"))
+        mode = self.draw_mode(STREAM_MODES if streams else PLAIN_MODES)
+        if mode not in MODES_NOT_RUN:
+            self.record_run(seen, undisturbed=not mode)
+        await self.pause(seen.headers, self.rng.uniform(*SERVICE_TIME_RANGE_S))
+        respond = getattr(
+            self, "do_" + (mode or ("stream" if streams else "answer"))
         )
-        return await act(seen.headers, reader, writer)
+        return await respond(seen.headers, reader, writer)
 
-    def draw_way(self, possible: tuple[str, ...]) -> str:
-        """Return how to misbehave this time, empty for not at all."""
-        if self.rng.random() < self.shed_share:
+    def draw_mode(self, possible: tuple[str, ...]) -> str:
+        """Return how to misbehave for one request; empty for no misbehaviour."""
+        if self.rng.random() < self.shed_fraction:
             return "reject"
-        if not self.way or self.rng.random() > MISBEHAVING_SHARE:
+        if not self.mode or self.rng.random() > MISBEHAVIOUR_PROBABILITY:
             return ""
-        return self.way if self.way in possible else "reset"
+        return self.mode if self.mode in possible else "reset"
 
-    def note(self, seen: gatewaybed.Seen, sound: bool) -> None:
-        """Note that a request began to run."""
+    def record_run(self, seen: gatewaybed.Seen, undisturbed: bool) -> None:
+        """Record that a request began to run."""
         now = time.monotonic()
-        self.book.runs.append(
+        self.observed.runs.append(
             audit.Run(
                 request=seen.headers.get("x-request-id", ""),
-                endpoint=self.start_mark,
+                endpoint=self.incarnation_id,
                 at=now,
-                sound=sound and now > self.disturbed_until,
+                undisturbed=undisturbed and now > self.disturbed_until,
             )
         )
 
     async def pause(self, headers, seconds: float) -> None:
-        """Wait, and note if that takes longer than it should."""
-        due = time.monotonic() + seconds
+        """Sleep, and record a delay if the wake-up is late."""
+        due_at = time.monotonic() + seconds
         await asyncio.sleep(seconds)
-        self.book.lateness.note(headers.get("x-request-id", ""), due)
+        self.observed.lateness.record_if_late(
+            headers.get("x-request-id", ""), due_at
+        )
 
     def body(self, headers):
-        """Return an answer that belongs to one request alone."""
+        """Return a response body that is unique to the request."""
         request = headers.get("x-request-id", "")
-        return audit.answer_body(request, self.start_mark)
+        return audit.response_body(request, self.incarnation_id)
 
     def event(self, headers, number):
-        """Return an event that belongs to one request alone."""
-        return audit.event(headers.get("x-request-id", ""), number)
+        """Return a stream event that is unique to the request."""
+        return audit.stream_event(headers.get("x-request-id", ""), number)
 
     async def do_stream(self, headers, _, writer):
-        """Send the events one by one."""
+        """Send the stream's events one by one."""
         first = int(headers.get("last-event-id", 0)) + 1
         writer.write(self.head(headers, "Transfer-Encoding: chunked"))
-        for number in range(first, audit.EVENTS + 1):
+        for number in range(first, audit.STREAM_EVENTS + 1):
             gatewaybed.write_chunk(writer, self.event(headers, number))
             await writer.drain()
-            await self.pause(headers, EVENT_GAP_S)
+            await self.pause(headers, EVENT_INTERVAL_S)
         writer.write(b"0\r\n\r\n")
         return True
 
-    def break_off(self) -> None:
-        """Crash: end all connections and listen no more."""
+    def abort(self) -> None:
+        """Crash: abort all connections and stop listening."""
         self.server.close()
         for writer in list(self.writers):
             writer.transport.abort()
 
 
 @attrs.define(eq=False)
-class Place:
-    """An address at which one endpoint after another lives."""
+class EndpointSlot:
+    """An address at which successive endpoint incarnations run."""
 
     number: int
-    book: audit.Book
+    observed: audit.Observations
     link: object
     rng: random.Random
     proxy: proxy_lib.Proxy | None = None
@@ -164,31 +171,34 @@
     incarnation: int = registry.UNMARKED
     state: registry.EndpointState = registry.EndpointState.SERVING
     announcer: asyncio.Task | None = None
-    poisoned: asyncio.Task | None = None
-    # Counts what an endpoint ran lately as disturbed.
-    unsound: Callable[[str, float], None] = lambda endpoint, seconds: None
+    poison_restart: asyncio.Task | None = None
+    # Marks the recent runs of an endpoint as disturbed.
+    mark_runs_disturbed: Callable[[str, float], None] = (
+        lambda endpoint, seconds: None
+    )
 
     @property
     def keeps_name(self) -> bool:
-        """Return whether each start here has the name of the one before."""
+        """Return whether all incarnations at this address share one name."""
         return self.number % 2 == 0
 
-    async def begin(self) -> None:
-        """Start an endpoint at the same address, under a new name or not.
+    async def start(self) -> None:
+        """Start the next endpoint incarnation at this address.
 
-        One that keeps its name states when it started and counts anew.
+        An endpoint that keeps its name announces a new incarnation number and
+        restarts its sequence numbers.
         """
-        before = self.announcement() if self.endpoint else None
+        last_announcement = self.announcement() if self.endpoint else None
         self.generation += 1
-        mark = f"e{self.number}-{self.generation}"
-        name = mark
+        incarnation_id = f"e{self.number}-{self.generation}"
+        name = incarnation_id
         if self.keeps_name:
             name = f"e{self.number}"
             self.seq = 0
-            self.incarnation = int(time.time() * MS)
-        endpoint = SoakEndpoint(name, mark, self.book, self.rng)
-        endpoint.on_poison = self.end_by_poison
-        # A fault that comes meanwhile meets the endpoint before this one.
+            self.incarnation = int(time.time() * MS_PER_S)
+        endpoint = SoakEndpoint(name, incarnation_id, self.observed, self.rng)
+        endpoint.on_poison = self.crash_on_poison
+        # Faults injected until `start` returns affect the previous incarnation.
         await endpoint.start()
         self.endpoint = endpoint
         host, port = self.endpoint.address.rsplit(":", 1)
@@ -198,13 +208,13 @@
             await self.proxy.start()
         self.proxy.target = target
         self.state = registry.EndpointState.SERVING
-        self.announcer = asyncio.ensure_future(self.announce_on())
-        if before is not None:
-            # A heartbeat of the one before that was late on its way.
-            await self.tell(before)
+        self.announcer = asyncio.ensure_future(self.announce_loop())
+        if last_announcement is not None:
+            # A delayed announcement of the previous incarnation.
+            await self.announce(last_announcement)
 
     def announcement(self) -> registry.Announcement:
-        """Return what the endpoint says of itself next."""
+        """Return the endpoint's next announcement."""
         self.seq += 1
         return registry.Announcement(
             endpoint=self.endpoint.name,
@@ -215,54 +225,61 @@
             state=self.state,
         )
 
-    async def tell(self, announcement: registry.Announcement) -> bool:
-        """Announce once; return whether it was acknowledged."""
+    async def announce(self, announcement: registry.Announcement) -> bool:
+        """Send one announcement; return whether it was acknowledged."""
         message = messages.Announce(announcement=announcement)
         answer = await self.link.call(message, ANNOUNCE_TIMEOUT_S)
         return answer.is_ok() and isinstance(answer.ok, outcomes.Done)
 
-    async def announce_on(self) -> None:
-        """Announce until cancelled."""
+    async def announce_loop(self) -> None:
+        """Announce the endpoint periodically until cancelled."""
         while True:
-            await self.tell(self.announcement())
-            await asyncio.sleep(ANNOUNCE_EVERY_S)
+            await self.announce(self.announcement())
+            await asyncio.sleep(ANNOUNCE_INTERVAL_S)
 
     async def leave(self) -> None:
-        """Announce leaving, serve on for the agreed time, sign off, end."""
+        """Announce leaving, serve for the drain period, sign off and close."""
         self.announcer.cancel()
         self.state = registry.EndpointState.LEAVING
         endpoint = self.endpoint
         for _ in range(5):
-            if await self.tell(self.announcement()):
-                self.book.left[endpoint.start_mark] = time.monotonic()
+            if await self.announce(self.announcement()):
+                self.observed.left_at[endpoint.incarnation_id] = (
+                    time.monotonic()
+                )
                 break
-        await asyncio.sleep(audit.DRAIN_S + audit.SLACK_S)
-        await self.tell(registry.signed_off(endpoint.name))
+        await asyncio.sleep(audit.DRAIN_PERIOD_S + audit.TIME_TOLERANCE_S)
+        await self.announce(registry.signed_off(endpoint.name))
         endpoint.server.close()
 
     async def crash(self, down_s: float) -> None:
-        """End without a word; another one takes the address later."""
+        """Crash without signing off, and stay down for `down_s`."""
         self.announcer.cancel()
-        self.endpoint.break_off()
+        self.endpoint.abort()
         await asyncio.sleep(down_s)
 
-    def end_by_poison(self) -> None:
-        """End as a process does that crashes; another one starts later."""
-        if self.poisoned is None or self.poisoned.done():
-            self.poisoned = asyncio.ensure_future(self.restart_poisoned())
+    def crash_on_poison(self) -> None:
+        """Crash because of a poison request and schedule the restart."""
+        if self.poison_restart is None or self.poison_restart.done():
+            self.poison_restart = asyncio.ensure_future(
+                self.restart_after_poison()
+            )
 
-    async def restart_poisoned(self) -> None:
-        """End with the address closed, and start there again."""
-        self.unsound(self.endpoint.start_mark, POISONED_S + WORK_S[1])
+    async def restart_after_poison(self) -> None:
+        """Crash, refuse connections for POISON_DOWNTIME_S, then restart."""
+        self.mark_runs_disturbed(
+            self.endpoint.incarnation_id,
+            POISON_DOWNTIME_S + SERVICE_TIME_RANGE_S[1],
+        )
         self.announcer.cancel()
-        self.endpoint.break_off()
+        self.endpoint.abort()
         await self.proxy.close()
-        await asyncio.sleep(POISONED_S)
+        await asyncio.sleep(POISON_DOWNTIME_S)
         await self.proxy.start()
-        await self.begin()
+        await self.start()
 
     async def close(self) -> None:
-        """End everything."""
+        """Stop announcing and close the endpoint and its proxy."""
         self.announcer.cancel()
-        self.endpoint.break_off()
+        self.endpoint.abort()
         await self.proxy.close()
--- a/features/soak/fleet.py
+++ b/features/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Starts, signals and ends the real programs of a soak."""
+"""Starts, signals and stops the gateway and replica processes of a soak."""
 
 import asyncio
 import http.client
@@ -22,13 +22,13 @@
 LAUNCHER = pathlib.Path(__file__).with_name("launch.py")
 TOKEN = "soak-token"
 HOST = ports_lib.own_host()
-STOP_WAIT_S = 12.0
-DUMP_S = 1.0
+STOP_TIMEOUT_S = 12.0
+DUMP_TIMEOUT_S = 1.0
 
 
 @attrs.define(eq=False)
 class Program:
-    """One process that is started again after it has ended."""
+    """A program that can be restarted after its process has exited."""
 
     name: str
     command: list[str]
@@ -38,7 +38,7 @@
     started_at: float = 0.0
 
     def start(self) -> None:
-        """Start it; its output is added to its log."""
+        """Start the process; its output is appended to the log."""
         self.starts += 1
         self.started_at = time.monotonic()
         with open(self.log, "ab") as log:
@@ -48,108 +48,114 @@
 
     @property
     def is_running(self) -> bool:
-        """Return whether it has not ended."""
+        """Return whether the process has been started and has not exited."""
         return self.process is not None and self.process.poll() is None
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to the process if it is running."""
         if self.is_running:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End it without warning and wait until it is gone."""
+        """Send SIGKILL and wait for the process to exit."""
         self.signal(signal.SIGKILL)
         self.process.wait()
 
     async def stop(self) -> audit.Exit:
-        """Ask it to stop; return how it ended."""
-        began = time.monotonic()
-        disposition = "already gone"
+        """Send SIGTERM and wait; return how the process exited."""
+        stop_sent_at = time.monotonic()
+        disposition = "already exited"
         if self.is_running:
             disposition = running.disposition(self.process.pid, signal.SIGTERM)
         self.signal(signal.SIGTERM)
-        while self.is_running and time.monotonic() < began + STOP_WAIT_S:
+        while (
+            self.is_running and time.monotonic() < stop_sent_at + STOP_TIMEOUT_S
+        ):
             await asyncio.sleep(0.05)
         return audit.Exit(
             name=self.name,
             code=self.process.poll(),
-            took_s=time.monotonic() - began,
-            age_s=began - self.started_at,
+            took_s=time.monotonic() - stop_sent_at,
+            age_s=stop_sent_at - self.started_at,
             disposition=disposition,
         )
 
 
 @attrs.define(eq=False)
 class Fleet:
-    """The replicas and gateways, with a proxy before each replica."""
+    """Replicas and gateways, with a proxy in front of each replica."""
 
     folder: pathlib.Path
-    # Bytes a second of the link before each replica, 0 for no limit.
-    rate: float = 0.0
+    # Rate of the link to each replica in bytes/s; 0 for no limit.
+    link_bytes_per_s: float = 0.0
     replicas: list[Program] = attrs.Factory(list)
     gateways: list[Program] = attrs.Factory(list)
     proxies: list[proxy_lib.Proxy] = attrs.Factory(list)
-    # Replicas that were replaced, with their proxies, and the folders of
-    # those that took their places.
-    left: list[Program] = attrs.Factory(list)
-    left_proxies: list[proxy_lib.Proxy] = attrs.Factory(list)
-    folders: dict[int, str] = attrs.Factory(dict)
-    replaced: int = 0
+    # Replaced replicas and their proxies, and the data folders of the
+    # replacements by index.
+    replaced_replicas: list[Program] = attrs.Factory(list)
+    replaced_proxies: list[proxy_lib.Proxy] = attrs.Factory(list)
+    data_folders: dict[int, str] = attrs.Factory(dict)
+    replacement_count: int = 0
     addresses: list[str] = attrs.Factory(list)
     ready: list[str] = attrs.Factory(list)
     directory: list[str] = attrs.Factory(list)
 
     async def start(self, replicas: int, gateways: int) -> None:
-        """Write the settings and start everything."""
+        """Write the settings and start all proxies and processes."""
         ports = ports_lib.free_ports(replicas, HOST)
         for port in ports:
-            proxy = proxy_lib.Proxy((HOST, port), rate=self.rate)
+            proxy = proxy_lib.Proxy(
+                (HOST, port), link_bytes_per_s=self.link_bytes_per_s
+            )
             await proxy.start()
             self.proxies.append(proxy)
-        for place, port in enumerate(ports):
-            program = self.make_replica(place, port, f"r{place}")
+        for index, port in enumerate(ports):
+            program = self.create_replica(index, port, f"r{index}")
             self.replicas.append(program)
-        for place in range(gateways):
-            self.add_gateway(place)
+        for index in range(gateways):
+            self.add_gateway(index)
         for program in self.replicas + self.gateways:
             program.start()
 
     def seeds(self) -> list[str]:
-        """Return the addresses of the replicas, as others reach them."""
+        """Return the proxied addresses of the replicas."""
         return [proxy.address for proxy in self.proxies]
 
-    async def replace(self, place: int) -> Program:
-        """Start a replica at a new address, with an empty disk.
+    async def replace(self, index: int) -> Program:
+        """Start a replacement replica at a new address with an empty disk.
 
-        Returns the one that was there before, which runs on if it did.
+        Returns the replaced replica, which is left running if it was.
         """
-        old = self.replicas[place]
+        old = self.replicas[index]
         (port,) = ports_lib.free_ports(1, HOST)
-        proxy = proxy_lib.Proxy((HOST, port), rate=self.rate)
+        proxy = proxy_lib.Proxy(
+            (HOST, port), link_bytes_per_s=self.link_bytes_per_s
+        )
         await proxy.start()
-        self.left_proxies.append(self.proxies[place])
-        self.proxies[place] = proxy
-        self.replaced += 1
-        self.folders[place] = f"data-{place}-{self.replaced}"
-        name = f"r{place}-{self.replaced}"
-        self.replicas[place] = self.make_replica(place, port, name)
-        self.later_start(place)
-        self.replicas[place].start()
-        self.left.append(old)
+        self.replaced_proxies.append(self.proxies[index])
+        self.proxies[index] = proxy
+        self.replacement_count += 1
+        self.data_folders[index] = f"data-{index}-{self.replacement_count}"
+        name = f"r{index}-{self.replacement_count}"
+        self.replicas[index] = self.create_replica(index, port, name)
+        self.mark_as_started(index)
+        self.replicas[index].start()
+        self.replaced_replicas.append(old)
         return old
 
-    def make_replica(self, place: int, port: int, name: str) -> Program:
-        """Write the settings of a replica; return its program."""
-        path = self.write(
-            f"replica-{place}",
+    def create_replica(self, index: int, port: int, name: str) -> Program:
+        """Write a replica's settings; return its program, not yet started."""
+        path = self.write_settings(
+            f"replica-{index}",
             {
                 "replica": name,
-                "availability_zone": f"z{place % 2}",
+                "availability_zone": f"z{index % 2}",
                 "listen": f"{HOST}:{port}",
-                "advertise": self.proxies[place].address,
+                "advertise": self.proxies[index].address,
                 "admin_listen": f"{HOST}:{ports_lib.free_port(HOST)}",
                 "admin_token": TOKEN,
-                "data_folder": str(self.data(place)),
+                "data_folder": str(self.data_folder(index)),
                 "seeds": self.seeds(),
                 "first_start": True,
                 "lost_at_once": (len(self.proxies) - 1) // 2,
@@ -157,23 +163,23 @@
             },
         )
         command = [sys.executable, str(LAUNCHER), "--settings", str(path)]
-        command += ["--faults", str(self.faults(place))]
-        log = self.folder / f"replica-{place}.log"
+        command += ["--faults", str(self.faults_path(index))]
+        log = self.folder / f"replica-{index}.log"
         return Program(f"replica {name}", command, log)
 
-    def add_gateway(self, place: int) -> None:
-        """Write the settings of a gateway."""
+    def add_gateway(self, index: int) -> None:
+        """Write a gateway's settings and add its program, not yet started."""
         names = ("listen", "ready_listen", "directory_listen", "peer_listen")
         found = ports_lib.free_ports(len(names), HOST)
         ports = {
             name: f"{HOST}:{port}"
             for name, port in zip(names, found, strict=True)
         }
-        path = self.write(
-            f"gateway-{place}",
+        path = self.write_settings(
+            f"gateway-{index}",
             {
-                "gateway": f"g{place}",
-                "availability_zone": f"z{place % 2}",
+                "gateway": f"g{index}",
+                "availability_zone": f"z{index % 2}",
                 "seeds": self.seeds(),
                 "retry_ratio": audit.RETRY_RATIO,
                 "retry_slack": audit.RETRY_SLACK,
@@ -186,85 +192,89 @@
         self.directory.append(ports["directory_listen"])
         module = "_coltsfootroad.commands.gateway"
         command = [sys.executable, "-m", module, "--settings", str(path)]
-        log = self.folder / f"gateway-{place}.log"
-        self.gateways.append(Program(f"gateway {place}", command, log))
+        log = self.folder / f"gateway-{index}.log"
+        self.gateways.append(Program(f"gateway {index}", command, log))
 
-    def data(self, place: int) -> pathlib.Path:
+    def data_folder(self, index: int) -> pathlib.Path:
         """Return the data folder of a replica."""
-        return self.folder / self.folders.get(place, f"data-{place}")
+        return self.folder / self.data_folders.get(index, f"data-{index}")
 
-    def faults(self, place: int) -> pathlib.Path:
-        """Return the file that says how a replica misbehaves."""
-        return self.folder / f"faults-{place}.json"
+    def faults_path(self, index: int) -> pathlib.Path:
+        """Return the path of the file with a replica's active faults."""
+        return self.folder / f"faults-{index}.json"
 
-    def misbehave(self, place: int, **ways) -> None:
-        """Say how a replica misbehaves from now on; nothing ends it."""
-        self.faults(place).write_text(json.dumps(ways))
+    def set_faults(self, index: int, **faults) -> None:
+        """Replace a replica's active faults; none clears them."""
+        self.faults_path(index).write_text(json.dumps(faults))
 
-    def write(self, name: str, settings: dict) -> pathlib.Path:
+    def write_settings(self, name: str, settings: dict) -> pathlib.Path:
         """Write a settings file."""
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(settings))
         return path
 
-    def later_start(self, place: int) -> None:
-        """Let a replica know that the system has begun already."""
-        path = self.folder / f"replica-{place}.json"
+    def mark_as_started(self, index: int) -> None:
+        """Set a replica's `first_start` setting to false."""
+        path = self.folder / f"replica-{index}.json"
         settings = json.loads(path.read_text())
         path.write_text(json.dumps(settings | {"first_start": False}))
 
-    def settings(self, place: int) -> dict:
+    def read_settings(self, index: int) -> dict:
         """Return the settings of a replica."""
-        return json.loads((self.folder / f"replica-{place}.json").read_text())
+        return json.loads((self.folder / f"replica-{index}.json").read_text())
 
-    def identity(self, place: int) -> str:
-        """Return the identity of a replica's present disk, empty for none."""
+    def identity(self, index: int) -> str:
+        """Return the identity of a replica's current disk; empty if unknown."""
         try:
-            text = (self.data(place) / "identity.json").read_text()
+            text = (self.data_folder(index) / "identity.json").read_text()
             disk = json.loads(text)["disk"]
         except (OSError, ValueError):
             return ""
-        return f"{self.settings(place)['replica']}#{disk}"
+        return f"{self.read_settings(index)['replica']}#{disk}"
 
-    def dump(self, place: int) -> dict | None:
-        """Return the state of a replica, None where it does not answer."""
+    def fetch_dump(self, index: int) -> dict | None:
+        """Return a replica's state dump, or None if it does not respond."""
         request = urllib.request.Request(
-            f"http://{self.settings(place)['admin_listen']}/admin/dump",
+            f"http://{self.read_settings(index)['admin_listen']}/admin/dump",
             headers={"Authorization": f"Bearer {TOKEN}"},
         )
         try:
-            with urllib.request.urlopen(request, timeout=DUMP_S) as answer:
-                return json.load(answer)
+            with urllib.request.urlopen(
+                request, timeout=DUMP_TIMEOUT_S
+            ) as response:
+                return json.load(response)
         except (OSError, http.client.HTTPException):
             return None
 
     def has_started(self) -> bool:
-        """Return whether all present replicas answer."""
-        return all(self.dump(place) for place in range(len(self.replicas)))
+        """Return whether all current replicas respond."""
+        return all(
+            self.fetch_dump(index) for index in range(len(self.replicas))
+        )
 
-    def tolerates_losses(self) -> bool:
-        """Return whether a leader finds all present replicas to vote."""
-        places = range(len(self.replicas))
-        identities = {self.identity(place) for place in places}
-        states = filter(None, map(self.dump, places))
-        return any(is_whole(state, identities) for state in states)
+    def has_full_quorum(self) -> bool:
+        """Return whether a leader sees all current replicas as healthy voters."""
+        indexes = range(len(self.replicas))
+        identities = {self.identity(index) for index in indexes}
+        states = filter(None, map(self.fetch_dump, indexes))
+        return any(leads_full_quorum(state, identities) for state in states)
 
-    def wipe(self, place: int) -> None:
-        """Take the disk of a replica that has ended."""
-        shutil.rmtree(self.data(place), ignore_errors=True)
+    def wipe(self, index: int) -> None:
+        """Delete the data folder of a replica whose process has exited."""
+        shutil.rmtree(self.data_folder(index), ignore_errors=True)
 
     async def close(self) -> None:
-        """End what was started, by its ids."""
-        for program in self.replicas + self.left + self.gateways:
+        """Kill all started processes, by process id, and close the proxies."""
+        for program in self.replicas + self.replaced_replicas + self.gateways:
             if program.is_running:
                 program.signal(signal.SIGCONT)
                 program.kill()
-        for proxy in self.proxies + self.left_proxies:
+        for proxy in self.proxies + self.replaced_proxies:
             await proxy.close()
 
 
-def is_whole(state: dict, identities: set[str]) -> bool:
-    """Return whether a replica leads and has these as its voters, all well."""
+def leads_full_quorum(state: dict, identities: set[str]) -> bool:
+    """Return whether a replica leads exactly these voters, all healthy."""
     voters = state["replica_set"]["voters"]
     quorum = state["quorum"]
     is_reduced = (
--- a/features/soak/lateness.py
+++ b/features/soak/lateness.py
@@ -1,7 +1,7 @@
-"""Measures how late the soak's own process is, which endpoints and proxies share.
+"""Measures delays of the soak's own event loop.
 
-A request that is cut off may be the product's fault or the soak's; what is
-measured here tells them apart.
+The soak's endpoints and proxies run on this loop. A truncated response may be
+caused by the product or by a late soak process; the delays tell them apart.
 """
 
 import asyncio
@@ -9,47 +9,55 @@
 
 import attrs
 
-LOOK_EVERY_S = 0.02
-# Shorter delays cut nothing off.
-NOTED_S = 0.1
+LOOP_CHECK_INTERVAL_S = 0.02
+# Shorter delays do not truncate responses.
+MIN_RECORDED_DELAY_S = 0.1
 
 
 @attrs.frozen(kw_only=True)
 class Delay:
-    """Something that the soak did later than it was due, in seconds."""
+    """An action of the soak that ran late, on the monotonic clock."""
 
-    what: str
-    due: float
+    source: str
+    due_at: float
     late_s: float
 
 
 @attrs.define
-class Lateness:
-    """Delays of the soak's loop and of its endpoints, in order of time."""
+class DelayLog:
+    """Delays of the soak's event loop and of its endpoints, oldest first."""
 
     delays: list[Delay] = attrs.Factory(list)
 
-    def note(self, what: str, due: float) -> None:
-        """Note what is done now, if it is late."""
-        late_s = time.monotonic() - due
-        if late_s >= NOTED_S:
-            self.delays.append(Delay(what=what, due=due, late_s=late_s))
+    def record_if_late(self, source: str, due_at: float) -> None:
+        """Record a delay if an action that runs now is late."""
+        late_s = time.monotonic() - due_at
+        if late_s >= MIN_RECORDED_DELAY_S:
+            self.delays.append(
+                Delay(source=source, due_at=due_at, late_s=late_s)
+            )
 
-    async def watch_loop(self) -> None:
-        """Note when the loop runs its timers late, until cancelled."""
+    async def monitor_loop(self) -> None:
+        """Record late timers of the event loop until cancelled."""
         while True:
-            due = time.monotonic() + LOOK_EVERY_S
-            await asyncio.sleep(LOOK_EVERY_S)
-            self.note("loop", due)
-
-    def words(self, begin: float, end: float, request: str) -> str:
-        """Return what was late in a span of time, and for a request."""
-        met = [
-            d for d in self.delays if d.due <= end and begin <= d.due + d.late_s
+            due_at = time.monotonic() + LOOP_CHECK_INTERVAL_S
+            await asyncio.sleep(LOOP_CHECK_INTERVAL_S)
+            self.record_if_late("loop", due_at)
+
+    def describe(self, begin: float, end: float, request: str) -> str:
+        """Describe the delays during a time span and those of a request."""
+        overlapping = [
+            d
+            for d in self.delays
+            if d.due_at <= end and begin <= d.due_at + d.late_s
         ]
-        loop = max((d.late_s for d in met if d.what == "loop"), default=0.0)
-        own = max((d.late_s for d in met if d.what == request), default=0.0)
+        loop = max(
+            (d.late_s for d in overlapping if d.source == "loop"), default=0.0
+        )
+        own = max(
+            (d.late_s for d in overlapping if d.source == request), default=0.0
+        )
         return (
-            f"the soak's loop was up to {loop:.2f} s late meanwhile, its"
-            f" endpoints {own:.2f} s with this request"
+            f"the soak's event loop was up to {loop:.2f} s late meanwhile, its"
+            f" endpoints {own:.2f} s for this request"
         )
--- a/features/soak/launch.py
+++ b/features/soak/launch.py
@@ -1,7 +1,7 @@
-"""Starts a replica whose disk and time of day misbehave when told to.
+"""Starts a replica with injectable disk faults and wall-clock skew.
 
-A file beside the data folder says how; it is read again before each use, so
-a running replica changes its ways without being touched.
+The active faults are read from a JSON file before each use, so that they can
+change while the replica runs, without a signal or a restart.
 """
 
 import errno
@@ -17,49 +17,51 @@
 from _coltsfootroad.shell import controlserver
 from _coltsfootroad.shell import disk
 
-FAULTS = flags.DEFINE_string("faults", None, "File that says what is wrong.")
+FAULTS = flags.DEFINE_string(
+    "faults", None, "JSON file with the active faults."
+)
 
-plain_write = disk.write_all
-plain_sync = disk.DataFolder.sync_log
-plain_time = time.time
+original_write = disk.write_all
+original_sync = disk.DataFolder.sync_log
+original_time = time.time
 
 
-def present() -> dict:
-    """Return what is wrong now."""
+def active_faults() -> dict:
+    """Return the faults that are active now."""
     try:
         return json.loads(pathlib.Path(FAULTS.value).read_bytes())
     except (OSError, ValueError):
-        # Not written yet, or half of it.
+        # The file is missing or partially written.
         return {}
 
 
 def write_all(file, data: bytes) -> None:
-    """Write unless the disk is full."""
-    if present().get("full"):
+    """Write, or raise ENOSPC while the disk counts as full."""
+    if active_faults().get("full"):
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-    plain_write(file, data)
+    original_write(file, data)
 
 
 def sync_log(folder: disk.DataFolder) -> None:
-    """Sync after as long as the disk takes now."""
-    time.sleep(present().get("sync_s", 0.0))
-    plain_sync(folder)
+    """Sync after the injected delay."""
+    time.sleep(active_faults().get("sync_s", 0.0))
+    original_sync(folder)
 
 
-class SteppedTime:
-    """The module `time` with a time of day that may be wrong."""
+class SkewedTime:
+    """The module `time` with an injectable offset of the wall clock."""
 
     def __getattr__(self, name):
         return getattr(time, name)
 
     @staticmethod
     def time() -> float:
-        """Return the time of day that this machine believes in."""
-        return plain_time() + present().get("wall_s", 0.0)
+        """Return the wall clock, in unix seconds, with the injected offset."""
+        return original_time() + active_faults().get("wall_s", 0.0)
 
 
 if __name__ == "__main__":
     disk.write_all = write_all
     disk.DataFolder.sync_log = sync_log
-    controlserver.time = SteppedTime()
+    controlserver.time = SkewedTime()
     common.start(control.main)
--- a/features/soak/plan.py
+++ b/features/soak/plan.py
@@ -1,26 +1,26 @@
-"""Draws the faults of a soak from its seed; nothing here runs anything."""
+"""Draws the faults of a soak from its seed, without running anything."""
 
 import enum
 import random
 
 import attrs
 
-# Faults begin after this, when the fleet serves, and end this long before
-# the callers do, so that recovery is seen as well.
-QUIET_S = 4.0
-SETTLE_S = 8.0
-# Mean pause between two faults; they last for seconds, so several overlap.
-MEAN_GAP_S = 0.8
-# Free of faults on replicas before and after a lost disk: one may be lost at
-# a time, and a replica counts as lost until it has caught up.
-WIPE_CLEAR_S = 8.0
+# Faults start after WARM_UP_S, when the fleet serves, and end RECOVERY_S before
+# the callers stop, so that recovery is checked too.
+WARM_UP_S = 4.0
+RECOVERY_S = 8.0
+# Mean time between the starts of faults; they last for seconds and overlap.
+MEAN_FAULT_INTERVAL_S = 0.8
+# Time without replica faults before and after a lost disk: only one replica may
+# be lost at a time, and it counts as lost until it has caught up.
+WIPE_ISOLATION_S = 8.0
 KEY_COUNT = 6
-# A replica on a new VM has started and votes this long after it was begun.
-VOTES_AFTER_S = 4.0
+# A replacement replica has started and votes within this time.
+REPLACEMENT_START_S = 4.0
 
 
-class Kind(enum.Enum):
-    """What is done, and to what kind of target."""
+class FaultKind(enum.Enum):
+    """The action of a fault and the kind of its target."""
 
     KILL_GATEWAY = "kill gateway"
     PAUSE_GATEWAY = "pause gateway"
@@ -41,46 +41,58 @@
     MISBEHAVE = "misbehave endpoint"
     SHED_ENDPOINTS = "shed at all endpoints"
     VERSION = "version"
-    STORM = "storm of versions"
-    RACE = "race of versions"
+    VERSION_BURST = "storm of versions"
+    VERSION_RACE = "race of versions"
     REVOKE = "revoke key"
 
 
 GATEWAY_KINDS = (
-    Kind.KILL_GATEWAY,
-    Kind.PAUSE_GATEWAY,
-    Kind.STOP_GATEWAY,
-    Kind.RELOAD_GATEWAY,
+    FaultKind.KILL_GATEWAY,
+    FaultKind.PAUSE_GATEWAY,
+    FaultKind.STOP_GATEWAY,
+    FaultKind.RELOAD_GATEWAY,
 )
 REPLICA_KINDS = (
-    Kind.KILL_REPLICA,
-    Kind.PAUSE_REPLICA,
-    Kind.STOP_REPLICA,
-    Kind.KILL_ALL_REPLICAS,
-    Kind.WIPE_REPLICA,
-    Kind.STORAGE,
-    Kind.WALL_CLOCK,
-    Kind.REPLICA_LINK,
+    FaultKind.KILL_REPLICA,
+    FaultKind.PAUSE_REPLICA,
+    FaultKind.STOP_REPLICA,
+    FaultKind.KILL_ALL_REPLICAS,
+    FaultKind.WIPE_REPLICA,
+    FaultKind.STORAGE,
+    FaultKind.WALL_CLOCK,
+    FaultKind.REPLICA_LINK,
 )
-# Replicas that are lost for good.
-LOSSES = (Kind.WIPE_REPLICA, Kind.REPLACE_REPLICA)
-# Drawn only in histories of their own.
-SPECIAL_KINDS = (Kind.REPLACE_REPLICA, Kind.SHED_ENDPOINTS)
-DRAWN_KINDS = tuple(kind for kind in Kind if kind not in SPECIAL_KINDS)
+# Faults that lose a replica's disk for good.
+LOSS_KINDS = (FaultKind.WIPE_REPLICA, FaultKind.REPLACE_REPLICA)
+# Drawn only for soaks of their own.
+SPECIAL_KINDS = (FaultKind.REPLACE_REPLICA, FaultKind.SHED_ENDPOINTS)
+DRAWN_KINDS = tuple(kind for kind in FaultKind if kind not in SPECIAL_KINDS)
 ENDPOINT_KINDS = (
-    Kind.ENDPOINT_LINK,
-    Kind.CRASH_ENDPOINT,
-    Kind.LEAVE_ENDPOINT,
-    Kind.MISBEHAVE,
+    FaultKind.ENDPOINT_LINK,
+    FaultKind.CRASH_ENDPOINT,
+    FaultKind.LEAVE_ENDPOINT,
+    FaultKind.MISBEHAVE,
 )
-# What each kind may do, drawn with the fault.
-WAYS = {
-    Kind.STORAGE: ("slow", "full"),
-    Kind.WALL_CLOCK: ("forward", "back"),
-    Kind.REPLICA_LINK: ("delay", "reset", "drop_in", "drop_out", "silence"),
-    Kind.ENDPOINT_LINK: ("delay", "reset", "drop_in", "drop_out", "silence"),
-    Kind.REPLACE_REPLICA: ("without a word", "planned"),
-    Kind.MISBEHAVE: (
+# Modes of each kind, one of which is drawn with the fault.
+MODES = {
+    FaultKind.STORAGE: ("slow", "full"),
+    FaultKind.WALL_CLOCK: ("forward", "back"),
+    FaultKind.REPLICA_LINK: (
+        "delay",
+        "reset",
+        "drop_in",
+        "drop_out",
+        "silence",
+    ),
+    FaultKind.ENDPOINT_LINK: (
+        "delay",
+        "reset",
+        "drop_in",
+        "drop_out",
+        "silence",
+    ),
+    FaultKind.REPLACE_REPLICA: ("without a word", "planned"),
+    FaultKind.MISBEHAVE: (
         "fail",
         "reject",
         "reset",
@@ -95,15 +107,15 @@
 
 
 @attrs.frozen(kw_only=True)
-class Size:
-    """How many of each take part, and for how long.
+class SoakOptions:
+    """Size and duration of a soak, and which faults it injects.
 
     Attributes:
-        seconds: Of faults, quiet times not counted.
-        replacing: Whether replicas are replaced, and nothing else is done.
-        mbits: Rate of the link before each replica, 0 for no limit.
-        routes: Routes of each version that nobody asks for.
-        poisons: Requests that end each endpoint that runs them.
+        seconds: Duration of the faults, without warm-up and recovery.
+        replacing: Whether replicas are replaced and wiped, without other faults.
+        mbits: Rate of the link to each replica in Mbit/s, 0 for no limit.
+        routes: Additional routes of each version that receive no requests.
+        poisons: Poison requests, which crash each endpoint that runs them.
         shedding: Whether all endpoints shed while gateways restart in series.
     """
 
@@ -119,138 +131,152 @@
     shedding: bool = False
 
     @property
-    def end_s(self) -> float:
-        """Return when the callers stop, in seconds from their start."""
-        return QUIET_S + self.seconds + SETTLE_S
+    def callers_stop_s(self) -> float:
+        """Return how long the callers run, in seconds."""
+        return WARM_UP_S + self.seconds + RECOVERY_S
 
 
 @attrs.frozen(kw_only=True)
 class Fault:
-    """One thing done to one target; `for_s` is its length."""
+    """One fault on one target, `at` seconds after the callers start."""
 
     at: float
-    kind: Kind
+    kind: FaultKind
     target: int = 0
-    for_s: float = 0.0
-    way: str = ""
+    duration_s: float = 0.0
+    mode: str = ""
 
 
-def draw(seed: int, size: Size) -> list[Fault]:
-    """Return the faults of a seed in order of time; the same each time."""
+def draw_faults(seed: int, options: SoakOptions) -> list[Fault]:
+    """Return the faults of a seed by start time; deterministic."""
     rng = random.Random(seed)
     found = []
-    at = QUIET_S
+    at = WARM_UP_S
     while True:
-        at += rng.expovariate(1 / MEAN_GAP_S)
-        if at >= QUIET_S + size.seconds:
+        at += rng.expovariate(1 / MEAN_FAULT_INTERVAL_S)
+        if at >= WARM_UP_S + options.seconds:
             break
-        found.append(draw_one(rng, at, size))
-    return without_double_losses(found)
+        found.append(draw_fault(rng, at, options))
+    return without_overlapping_wipes(found)
 
 
-def draw_one(rng: random.Random, at: float, size: Size) -> Fault:
-    """Return a fault that begins at a time."""
+def draw_fault(rng: random.Random, at: float, options: SoakOptions) -> Fault:
+    """Return a random fault that starts at a given time."""
     kind = rng.choice(DRAWN_KINDS)
     target = 0
     if kind in GATEWAY_KINDS:
-        target = rng.randrange(size.gateways)
+        target = rng.randrange(options.gateways)
     elif kind in REPLICA_KINDS:
-        target = rng.randrange(size.replicas)
+        target = rng.randrange(options.replicas)
     elif kind in ENDPOINT_KINDS:
-        target = rng.randrange(size.endpoints)
-    elif kind is Kind.REVOKE:
+        target = rng.randrange(options.endpoints)
+    elif kind is FaultKind.REVOKE:
         target = rng.randrange(1, KEY_COUNT)
     return Fault(
         at=at,
         kind=kind,
         target=target,
-        for_s=rng.uniform(0.3, 4.0),
-        way=rng.choice(WAYS.get(kind, ("",))),
+        duration_s=rng.uniform(0.3, 4.0),
+        mode=rng.choice(MODES.get(kind, ("",))),
     )
 
 
-def draw_replacements(seed: int, size: Size) -> list[Fault]:
-    """Return faults in which replicas are replaced and others then wiped.
+def draw_replacements(seed: int, options: SoakOptions) -> list[Fault]:
+    """Return faults that replace replicas and then wipe others.
 
-    As many as may be lost at once are replaced, and a moment after their
-    successors vote as many others lose their disk; an operator sends versions
-    all the time.
+    As many replicas as may fail at once are replaced. Shortly after the
+    replacements vote, as many others lose their disk. An operator puts a
+    version in force every second.
     """
     rng = random.Random(seed)
-    losses = (size.replicas - 1) // 2
+    losses = (options.replicas - 1) // 2
     found = []
-    at = QUIET_S
-    while at < QUIET_S + size.seconds:
-        places = rng.sample(range(size.replicas), 2 * losses)
-        for_s = rng.uniform(0.3, 2.0)
-        way = rng.choice(WAYS[Kind.REPLACE_REPLICA])
-        for place in places[:losses]:
-            kind = Kind.REPLACE_REPLICA
+    at = WARM_UP_S
+    while at < WARM_UP_S + options.seconds:
+        indexes = rng.sample(range(options.replicas), 2 * losses)
+        duration_s = rng.uniform(0.3, 2.0)
+        mode = rng.choice(MODES[FaultKind.REPLACE_REPLICA])
+        for index in indexes[:losses]:
+            kind = FaultKind.REPLACE_REPLICA
             found.append(
-                Fault(at=at, kind=kind, target=place, for_s=for_s, way=way)
+                Fault(
+                    at=at,
+                    kind=kind,
+                    target=index,
+                    duration_s=duration_s,
+                    mode=mode,
+                )
             )
-        at += for_s + VOTES_AFTER_S
-        for place in places[losses:]:
-            kind = Kind.WIPE_REPLICA
-            found.append(Fault(at=at, kind=kind, target=place, for_s=1.0))
-        at += 1.0 + VOTES_AFTER_S + rng.uniform(0.0, 2.0)
+        at += duration_s + REPLACEMENT_START_S
+        for index in indexes[losses:]:
+            kind = FaultKind.WIPE_REPLICA
+            found.append(Fault(at=at, kind=kind, target=index, duration_s=1.0))
+        at += 1.0 + REPLACEMENT_START_S + rng.uniform(0.0, 2.0)
     versions = [
-        Fault(at=QUIET_S + n, kind=Kind.VERSION) for n in range(int(at))
+        Fault(at=WARM_UP_S + n, kind=FaultKind.VERSION) for n in range(int(at))
     ]
     return sorted(found + versions, key=lambda fault: fault.at)
 
 
-def draw_beside_poison(seed: int, size: Size) -> list[Fault]:
-    """Return faults of gateways, versions and the leader, none of endpoints."""
+def draw_with_poison(seed: int, options: SoakOptions) -> list[Fault]:
+    """Return faults of gateways, versions and one replica, none of endpoints."""
     rng = random.Random(seed)
-    at = QUIET_S
-    found = [Fault(at=QUIET_S + size.seconds / 2, kind=Kind.KILL_REPLICA)]
-    while at < QUIET_S + size.seconds:
-        at += rng.expovariate(1 / (3 * MEAN_GAP_S))
-        kind = rng.choice((Kind.KILL_GATEWAY, Kind.VERSION))
-        target = rng.randrange(size.gateways)
-        found.append(Fault(at=at, kind=kind, target=target, for_s=1.0))
+    at = WARM_UP_S
+    found = [
+        Fault(at=WARM_UP_S + options.seconds / 2, kind=FaultKind.KILL_REPLICA)
+    ]
+    while at < WARM_UP_S + options.seconds:
+        at += rng.expovariate(1 / (3 * MEAN_FAULT_INTERVAL_S))
+        kind = rng.choice((FaultKind.KILL_GATEWAY, FaultKind.VERSION))
+        target = rng.randrange(options.gateways)
+        found.append(Fault(at=at, kind=kind, target=target, duration_s=1.0))
     return sorted(found, key=lambda fault: fault.at)
 
 
-def draw_beside_shedding(seed: int, size: Size) -> list[Fault]:
-    """Return series of kills of gateways while all endpoints shed."""
+def draw_with_shedding(seed: int, options: SoakOptions) -> list[Fault]:
+    """Return series of gateway kills while all endpoints shed."""
     rng = random.Random(seed)
-    at = QUIET_S
-    kind = Kind.SHED_ENDPOINTS
-    found = [Fault(at=at, kind=kind, for_s=size.seconds)]
+    at = WARM_UP_S
+    kind = FaultKind.SHED_ENDPOINTS
+    found = [Fault(at=at, kind=kind, duration_s=options.seconds)]
     while True:
         at += rng.uniform(1.0, 4.0)
-        if at >= QUIET_S + size.seconds:
+        if at >= WARM_UP_S + options.seconds:
             break
-        count = rng.randint(size.gateways // 2, size.gateways)
-        for target in rng.sample(range(size.gateways), count):
-            kind = Kind.KILL_GATEWAY
-            for_s = rng.uniform(0.2, 0.8)
-            found.append(Fault(at=at, kind=kind, target=target, for_s=for_s))
+        count = rng.randint(options.gateways // 2, options.gateways)
+        for target in rng.sample(range(options.gateways), count):
+            kind = FaultKind.KILL_GATEWAY
+            duration_s = rng.uniform(0.2, 0.8)
+            found.append(
+                Fault(at=at, kind=kind, target=target, duration_s=duration_s)
+            )
         if rng.random() < 0.3:
-            target = rng.randrange(size.replicas)
-            kind = Kind.KILL_REPLICA
-            found.append(Fault(at=at, kind=kind, target=target, for_s=0.5))
+            target = rng.randrange(options.replicas)
+            kind = FaultKind.KILL_REPLICA
+            found.append(Fault(at=at, kind=kind, target=target, duration_s=0.5))
     return found
 
 
-def is_loss_after(fault: Fault, losses: list[Fault]) -> bool:
-    """Return whether a fault takes replicas after others were lost."""
+def follows_earlier_loss(fault: Fault, losses: list[Fault]) -> bool:
+    """Return whether a fault loses a replica after an earlier loss."""
     is_later = bool(losses) and fault.at > losses[-1].at
-    return fault.kind in LOSSES and is_later
+    return fault.kind in LOSS_KINDS and is_later
 
 
-def without_double_losses(faults: list[Fault]) -> list[Fault]:
-    """Drop lost disks that meet another fault of the replicas."""
+def without_overlapping_wipes(faults: list[Fault]) -> list[Fault]:
+    """Drop wipes that come too close to another fault of the replicas."""
     replica = [f for f in faults if f.kind in REPLICA_KINDS]
 
-    def alone(fault: Fault) -> bool:
+    def is_isolated(fault: Fault) -> bool:
         return all(
             other is fault
-            or other.at > fault.at + WIPE_CLEAR_S
-            or other.at + other.for_s < fault.at - WIPE_CLEAR_S
+            or other.at > fault.at + WIPE_ISOLATION_S
+            or other.at + other.duration_s < fault.at - WIPE_ISOLATION_S
             for other in replica
         )
 
-    return [f for f in faults if f.kind is not Kind.WIPE_REPLICA or alone(f)]
+    return [
+        f
+        for f in faults
+        if f.kind is not FaultKind.WIPE_REPLICA or is_isolated(f)
+    ]
--- a/features/soak/proxy.py
+++ b/features/soak/proxy.py
@@ -1,6 +1,7 @@
-"""A loopback proxy before one listener: delays, resets, drops, silences.
+"""A loopback proxy in front of one listener that injects network faults.
 
-It may also be narrow all the while: bytes then take turns on a link of a rate.
+It can delay, reset or drop traffic, and can limit the rate of the link all the
+time; the connections then share the link.
 """
 
 import asyncio
@@ -11,8 +12,8 @@
 CHUNK_BYTES = 65_536
 DELAY_S = 0.15
 HOST = "127.0.0.1"
-# Bytes that a way lets through: towards the listener, back from it.
-OPEN_WAYS = {
+# Directions that each mode forwards: to the listener, from the listener.
+FORWARDED_DIRECTIONS = {
     "": (True, True),
     "delay": (True, True),
     "drop_in": (False, True),
@@ -23,52 +24,54 @@
 
 @attrs.define(eq=False)
 class Proxy:
-    """Passes bytes between callers and one listener while it may.
+    """Forwards bytes between clients and one listener as its mode allows.
 
-    A connection that has lost bytes stays silent for good, as one does
-    whose path was cut for long; only new connections work afterwards.
+    A connection that has lost bytes forwards nothing more in that direction,
+    like a TCP connection whose path was interrupted for long; only new
+    connections work afterwards.
     """
 
     target: tuple[str, int]
-    way: str = ""
-    # Bytes a second each way, 0 for no limit, and when each way is free.
-    rate: float = 0.0
-    free_at: list[float] = attrs.Factory(lambda: [0.0, 0.0])
+    mode: str = ""
+    # Rate per direction in bytes/s, 0 for no limit, and when the link of each
+    # direction has sent what it accepted.
+    link_bytes_per_s: float = 0.0
+    link_free_at: list[float] = attrs.Factory(lambda: [0.0, 0.0])
     server: asyncio.Server | None = None
     port: int = 0
     writers: set[asyncio.StreamWriter] = attrs.Factory(set)
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address on which the proxy listens."""
         return f"{HOST}:{self.port}"
 
     async def start(self) -> None:
-        """Listen on a free port, or again on the one before."""
+        """Listen on a free port, or on the previous one after a restart."""
         self.server = await asyncio.start_server(self.serve, HOST, self.port)
         _, self.port = self.server.sockets[0].getsockname()
 
-    def set_way(self, way: str) -> None:
-        """Change what happens to bytes; "reset" ends all connections."""
-        if way == "reset":
+    def set_mode(self, mode: str) -> None:
+        """Change the fault mode; "reset" aborts all connections once."""
+        if mode == "reset":
             for writer in list(self.writers):
                 writer.transport.abort()
-            way = ""
-        self.way = way
+            mode = ""
+        self.mode = mode
 
     async def serve(self, reader, writer) -> None:
-        """Serve one connection."""
+        """Forward one connection."""
         self.writers.add(writer)
         other = None
         try:
             other_reader, other = await asyncio.open_connection(*self.target)
             self.writers.add(other)
             await asyncio.gather(
-                self.pump(reader, other, 0),
-                self.pump(other_reader, writer, 1),
+                self.forward(reader, other, 0),
+                self.forward(other_reader, writer, 1),
             )
         except (OSError, asyncio.CancelledError):
-            # The listener is gone, one side broke off, or the soak ends.
+            # The listener is down, a side aborted, or the soak ends.
             writer.transport.abort()
         finally:
             for end in (writer, other):
@@ -76,15 +79,15 @@
                     self.writers.discard(end)
                     end.close()
 
-    async def pump(self, reader, writer, direction: int) -> None:
-        """Pass bytes on in one direction until either side ends."""
+    async def forward(self, reader, writer, direction: int) -> None:
+        """Forward bytes in one direction until the sender closes."""
         silent = False
         while data := await reader.read(CHUNK_BYTES):
-            if self.way == "delay":
+            if self.mode == "delay":
                 await asyncio.sleep(DELAY_S)
-            if self.rate:
-                await asyncio.sleep(self.turn(len(data), direction))
-            silent = silent or not OPEN_WAYS[self.way][direction]
+            if self.link_bytes_per_s:
+                await asyncio.sleep(self.transmit_delay_s(len(data), direction))
+            silent = silent or not FORWARDED_DIRECTIONS[self.mode][direction]
             if not silent:
                 writer.write(data)
                 await writer.drain()
@@ -93,15 +96,18 @@
         if writer.can_write_eof():
             writer.write_eof()
 
-    def turn(self, size: int, direction: int) -> float:
-        """Return after how long some bytes have gone over the link."""
+    def transmit_delay_s(self, size: int, direction: int) -> float:
+        """Return how long until `size` more bytes have crossed the link."""
         now = time.monotonic()
-        free_at = max(self.free_at[direction], now) + size / self.rate
-        self.free_at[direction] = free_at
-        return free_at - now
+        link_free_at = (
+            max(self.link_free_at[direction], now)
+            + size / self.link_bytes_per_s
+        )
+        self.link_free_at[direction] = link_free_at
+        return link_free_at - now
 
     async def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stop listening and abort all connections."""
         self.server.close()
         for writer in list(self.writers):
             writer.transport.abort()
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -22,221 +22,246 @@
 from features.soak import timeline
 from features.support import machineload
 
-SEEDS = flags.DEFINE_list("seeds", [], "Seeds to run; drawn if none.")
-COUNT = flags.DEFINE_integer("count", 1, "How many seeds to draw.")
-SECONDS = flags.DEFINE_float("seconds", 20.0, "Seconds of faults.")
-GATEWAYS = flags.DEFINE_integer("gateways", 4, "Gateways.")
-ENDPOINTS = flags.DEFINE_integer("endpoints", 5, "Endpoints.")
-REPLICAS = flags.DEFINE_integer("replicas", 3, "Replicas.")
+SEEDS = flags.DEFINE_list("seeds", [], "Seeds to run; random if none.")
+COUNT = flags.DEFINE_integer("count", 1, "Number of random seeds.")
+SECONDS = flags.DEFINE_float(
+    "seconds", 20.0, "Duration of the faults in seconds."
+)
+GATEWAYS = flags.DEFINE_integer("gateways", 4, "Number of gateways.")
+ENDPOINTS = flags.DEFINE_integer("endpoints", 5, "Number of endpoints.")
+REPLICAS = flags.DEFINE_integer("replicas", 3, "Number of replicas.")
 REPLACING = flags.DEFINE_bool(
-    "replacing", False, "Replace replicas, and wipe others soon afterwards."
+    "replacing", False, "Replace replicas, then wipe others."
+)
+CALLERS = flags.DEFINE_integer("callers", 8, "Number of callers.")
+MBITS = flags.DEFINE_float(
+    "mbits", 0.0, "Mbit/s of links to replicas; 0: no limit."
 )
-CALLERS = flags.DEFINE_integer("callers", 8, "Callers.")
-MBITS = flags.DEFINE_float("mbits", 0.0, "Rate of links to replicas; 0: none.")
 POISONS = flags.DEFINE_integer(
-    "poisons", 0, "Requests that end each endpoint that runs them."
+    "poisons", 0, "Poison requests, which crash the endpoints."
 )
 SHEDDING = flags.DEFINE_bool(
     "shedding", False, "All endpoints shed while gateways restart in series."
 )
-ROUTES = flags.DEFINE_integer("routes", 0, "Routes that nobody asks for.")
-KEEP = flags.DEFINE_string("keep", "", "Folder for the logs of failures.")
-FIRST_VERSION_S = 20.0
-FINAL_S = 6.0
-BYTES_A_MBIT = 125_000.0
-# What is shown of the logs of a failure.
-LAST_LINES = 3
-LINE_LENGTH = 200
-# Fewest requests that must have been served for a soak to say anything.
+ROUTES = flags.DEFINE_integer(
+    "routes", 0, "Additional routes without requests."
+)
+KEEP = flags.DEFINE_string("keep", "", "Folder for the logs of failed seeds.")
+FIRST_VERSION_TIMEOUT_S = 20.0
+FINAL_READ_TIMEOUT_S = 6.0
+BYTES_PER_MBIT = 125_000.0
+# Excerpt of each log that is printed for a failed seed.
+LOG_TAIL_LINES = 3
+LOG_LINE_LENGTH = 200
+# A soak that serves fewer requests proves too little and fails.
 MIN_SERVED = 50
 
 
-async def soak(seed: int, size: plan.Size, folder: pathlib.Path) -> audit.Book:
-    """Run one seed and return what was seen."""
-    book = audit.Book()
+async def soak(
+    seed: int, options: plan.SoakOptions, folder: pathlib.Path
+) -> audit.Observations:
+    """Run one seed and return the observations."""
+    observed = audit.Observations()
     rng = random.Random(seed)
-    fleet = fleet_lib.Fleet(folder, rate=size.mbits * BYTES_A_MBIT)
+    fleet = fleet_lib.Fleet(
+        folder, link_bytes_per_s=options.mbits * BYTES_PER_MBIT
+    )
     stopping = threading.Event()
     threads = []
-    places = []
-    watch = asyncio.ensure_future(book.lateness.watch_loop())
+    slots = []
+    monitor = asyncio.ensure_future(observed.lateness.monitor_loop())
     try:
-        await fleet.start(size.replicas, size.gateways)
+        await fleet.start(options.replicas, options.gateways)
         link = links.GrpcControlLink(tuple(fleet.seeds()))
-        places = [
-            endpoints_lib.Place(n, book, link, rng)
-            for n in range(size.endpoints)
+        slots = [
+            endpoints_lib.EndpointSlot(n, observed, link, rng)
+            for n in range(options.endpoints)
         ]
-        driver = driver_lib.Driver(fleet, places, book, link, rng, size.routes)
-        for place in places:
-            place.unsound = driver.unsound
-        await begin(driver, fleet)
-        threads = start_callers(book, fleet, stopping, size, seed)
-        began = time.monotonic()
-        await driver.carry_out(faults_of(seed, size), began)
-        end = began + driver.delay_s + size.end_s
+        injector = driver_lib.FaultInjector(
+            fleet, slots, observed, link, rng, options.routes
+        )
+        for slot in slots:
+            slot.mark_runs_disturbed = injector.mark_runs_disturbed
+        await start_serving(injector, fleet)
+        threads = start_callers(observed, fleet, stopping, options, seed)
+        started_at = time.monotonic()
+        await injector.run_faults(draw_faults_for(seed, options), started_at)
+        end = started_at + injector.delay_s + options.callers_stop_s
         await asyncio.sleep(max(0.0, end - time.monotonic()))
         stopping.set()
-        await asyncio.to_thread(join, threads)
-        await look_back(book, fleet, link)
+        await asyncio.to_thread(join_threads, threads)
+        await read_final_state(observed, fleet, link)
     finally:
-        watch.cancel()
+        monitor.cancel()
         stopping.set()
-        for place in places:
-            if place.endpoint is not None:
-                await place.close()
+        for slot in slots:
+            if slot.endpoint is not None:
+                await slot.close()
         await fleet.close()
-        await asyncio.to_thread(join, threads)
-    return book
+        await asyncio.to_thread(join_threads, threads)
+    return observed
 
 
-def faults_of(seed: int, size: plan.Size) -> list[plan.Fault]:
-    """Return the faults that a soak brings about."""
-    if size.poisons:
-        return plan.draw_beside_poison(seed, size)
-    if size.shedding:
-        return plan.draw_beside_shedding(seed, size)
-    if size.replacing:
-        return plan.draw_replacements(seed, size)
-    return plan.draw(seed, size)
+def draw_faults_for(seed: int, options: plan.SoakOptions) -> list[plan.Fault]:
+    """Return the faults of a soak."""
+    if options.poisons:
+        return plan.draw_with_poison(seed, options)
+    if options.shedding:
+        return plan.draw_with_shedding(seed, options)
+    if options.replacing:
+        return plan.draw_replacements(seed, options)
+    return plan.draw_faults(seed, options)
 
 
-async def begin(driver: driver_lib.Driver, fleet: fleet_lib.Fleet) -> None:
-    """Bring the first version in force and the endpoints in."""
-    end = time.monotonic() + FIRST_VERSION_S
-    while await driver.put(driver.next_config(), "first") is None:
+async def start_serving(
+    injector: driver_lib.FaultInjector, fleet: fleet_lib.Fleet
+) -> None:
+    """Put the first version in force and start the endpoints."""
+    end = time.monotonic() + FIRST_VERSION_TIMEOUT_S
+    while await injector.put_config(injector.next_config(), "first") is None:
         if time.monotonic() > end:
-            raise TimeoutError("no replica took a version")
-    for place in range(len(fleet.replicas)):
-        fleet.later_start(place)
-    await asyncio.gather(*(place.begin() for place in driver.places))
+            raise TimeoutError("no replica accepted a version")
+    for index in range(len(fleet.replicas)):
+        fleet.mark_as_started(index)
+    await asyncio.gather(*(slot.start() for slot in injector.slots))
 
 
-def start_callers(book, fleet, stopping, size, seed) -> list:
-    """Start the threads of the callers and of the one that looks on."""
+def start_callers(observed, fleet, stopping, options, seed) -> list:
+    """Start the threads of the callers and of the version monitor."""
     gateways = {address: n for n, address in enumerate(fleet.addresses)}
-    watch = callers.VersionWatch(book, fleet.ready, fleet.gateways, stopping)
-    works = [watch.run]
-    for number in range(size.callers + size.poisons):
+    monitor = callers.VersionMonitor(
+        observed, fleet.ready, fleet.gateways, stopping
+    )
+    targets = [monitor.run]
+    for number in range(options.callers + options.poisons):
         kind = callers.Caller
-        if number >= size.callers:
+        if number >= options.callers:
             kind = callers.PoisonCaller
         caller = kind(
             number,
-            book,
+            observed,
             fleet.directory,
             gateways,
             stopping,
             random.Random(f"{seed}-{number}"),
-            callers.key_names(),
+            callers.initial_keys(),
         )
-        works.append(caller.run)
-    threads = [threading.Thread(target=work) for work in works]
+        targets.append(caller.run)
+    threads = [threading.Thread(target=target) for target in targets]
     for thread in threads:
         thread.start()
     return threads
 
 
-def join(threads: list) -> None:
-    """Wait until all threads have ended."""
+def join_threads(threads: list) -> None:
+    """Wait for all threads to end."""
     for thread in threads:
         thread.join()
 
 
-async def look_back(book, fleet, link) -> None:
-    """Read what is left once all faults are over."""
-    answer = await link.call(messages.ReadRoutes(), FINAL_S)
+async def read_final_state(observed, fleet, link) -> None:
+    """Read the configuration and the gateways' versions after all faults."""
+    answer = await link.call(messages.ReadRoutes(), FINAL_READ_TIMEOUT_S)
     if answer.is_ok() and isinstance(answer.ok, messages.RoutesCopy):
-        book.read_back = (answer.ok.version, answer.ok.source)
-    highest = max(book.acknowledged, default=-1)
-    for place, address in enumerate(fleet.ready):
-        end = time.monotonic() + FINAL_S
+        observed.read_back = (answer.ok.version, answer.ok.source)
+    highest = max(observed.acknowledged_at, default=-1)
+    for index, address in enumerate(fleet.ready):
+        end = time.monotonic() + FINAL_READ_TIMEOUT_S
         version = -1
         while version < highest and time.monotonic() < end:
             found = await asyncio.to_thread(callers.read_version, address)
             version = -1 if found is None else found
             await asyncio.sleep(0.1)
-        book.final_versions[place] = version
+        observed.final_versions[index] = version
 
 
 def run_seed(
-    seed: int, size: plan.Size, keep: str, folder: pathlib.Path | None = None
+    seed: int,
+    options: plan.SoakOptions,
+    keep: str,
+    folder: pathlib.Path | None = None,
 ) -> tuple[list[str], int]:
-    """Run one seed; return what was broken and how many were served.
+    """Run one seed; return the violations and the number served.
 
-    Logs are written to `folder`, or to one that is removed afterwards. They are
-    kept in a folder `keep`, if it is named, when anything was broken.
+    Logs are written to `folder`, or to a temporary folder. If there are
+    violations and `keep` is not empty, they are copied to a folder below it.
     """
     if folder is not None:
-        return run_seed_in(seed, size, keep, folder)
+        return run_seed_in(seed, options, keep, folder)
     with tempfile.TemporaryDirectory(
         prefix="colts-soak-", ignore_cleanup_errors=True
     ) as name:
-        return run_seed_in(seed, size, keep, pathlib.Path(name))
+        return run_seed_in(seed, options, keep, pathlib.Path(name))
 
 
 def run_seed_in(
-    seed: int, size: plan.Size, keep: str, folder: pathlib.Path
+    seed: int, options: plan.SoakOptions, keep: str, folder: pathlib.Path
 ) -> tuple[list[str], int]:
-    """Run one seed, with its logs in a folder that stays."""
-    before = machineload.read()
+    """Run one seed with its logs in an existing folder."""
+    before = machineload.measure()
     try:
-        book = asyncio.run(soak(seed, size, folder))
+        observed = asyncio.run(soak(seed, options, folder))
     except TimeoutError as error:
-        faults, served = not_started(error, folder), 0
+        violations, served = startup_violations(error, folder), 0
     else:
-        faults, served = judge(book)
-        timeline.write(book, folder / timeline.FILE)
+        violations, served = find_violations(observed)
+        timeline.write(observed, folder / timeline.FILE)
         print(
-            f"seed {seed}: {len(book.outcomes)} requests, {served} served,"
-            f" {len(book.runs)} runs, {len(book.acknowledged)} versions,"
-            f" {len(faults)} broken promises"
+            f"seed {seed}: {len(observed.outcomes)} requests, {served} served,"
+            f" {len(observed.runs)} runs, {len(observed.acknowledged_at)} versions,"
+            f" {len(violations)} violations"
         )
-    if faults:
-        found = machineload.words(before, machineload.read())
-        faults = [*faults, f"machine: {found}"]
-    if faults and keep:
+    if violations:
+        load = machineload.describe(before, machineload.measure())
+        violations = [*violations, f"machine: {load}"]
+    if violations and keep:
         kept = pathlib.Path(keep) / f"{seed}-{time.time_ns()}"
         shutil.copytree(folder, kept)
-        (kept / "broken.txt").write_text("\n".join(faults) + "\n")
-        faults = [*faults, f"logs are kept in {kept}", *last_lines(folder)]
-    return faults, served
+        (kept / "broken.txt").write_text("\n".join(violations) + "\n")
+        violations = [
+            *violations,
+            f"logs are kept in {kept}",
+            *last_log_lines(folder),
+        ]
+    return violations, served
 
 
-def last_lines(folder: pathlib.Path) -> list[str]:
-    """Return the last lines of each program's log."""
+def last_log_lines(folder: pathlib.Path) -> list[str]:
+    """Return the last lines of each process's log."""
     found = []
     for log in sorted(folder.glob("*.log")):
-        lines = log.read_text(errors="replace").splitlines()[-LAST_LINES:]
-        found += [f"{log.name}: {line[:LINE_LENGTH]}" for line in lines]
+        lines = log.read_text(errors="replace").splitlines()[-LOG_TAIL_LINES:]
+        found += [f"{log.name}: {line[:LOG_LINE_LENGTH]}" for line in lines]
     return found
 
 
-def judge(book: audit.Book) -> tuple[list[str], int]:
-    """Return what was broken and how many requests were served."""
-    faults = audit.check(book)
-    served = sum(200 <= o.status < 300 and o.whole for o in book.outcomes)
+def find_violations(observed: audit.Observations) -> tuple[list[str], int]:
+    """Return the violations and how many requests were served."""
+    violations = audit.check(observed)
+    served = sum(
+        200 <= o.status < 300 and o.complete for o in observed.outcomes
+    )
     if served < MIN_SERVED:
-        faults.append(f"only {served} requests were served")
-    return faults, served
+        violations.append(f"only {served} requests were served")
+    return violations, served
 
 
-def not_started(error: TimeoutError, folder: pathlib.Path) -> list[str]:
-    """Return why a fleet did not start, with the last word of each program."""
-    faults = [f"the fleet did not start: {error}"]
+def startup_violations(error: TimeoutError, folder: pathlib.Path) -> list[str]:
+    """Return why a fleet did not start, with the last line of each log."""
+    violations = [f"the fleet did not start: {error}"]
     for log in sorted(folder.glob("*.log")):
         lines = log.read_text().splitlines() or ["no output"]
-        faults.append(f"{log.name}: {lines[-1]}")
-    return faults
+        violations.append(f"{log.name}: {lines[-1]}")
+    return violations
 
 
 def main(_: list[str]) -> int:
-    """Run the seeds; the exit code is 1 if any broke a promise."""
-    draws = random.SystemRandom()
+    """Run the seeds; return 1 if any had violations."""
+    seed_source = random.SystemRandom()
     seeds = [int(seed) for seed in SEEDS.value]
     if not seeds:
-        seeds = [draws.randrange(1_000_000) for _ in range(COUNT.value)]
-    size = plan.Size(
+        seeds = [seed_source.randrange(1_000_000) for _ in range(COUNT.value)]
+    options = plan.SoakOptions(
         replicas=REPLICAS.value,
         replacing=REPLACING.value,
         seconds=SECONDS.value,
@@ -248,14 +273,14 @@
         poisons=POISONS.value,
         shedding=SHEDDING.value,
     )
-    broken = 0
+    failed = 0
     for seed in seeds:
-        faults, _ = run_seed(seed, size, KEEP.value)
-        broken += bool(faults)
-        for fault in faults:
-            print(f"  {fault}")
-    print(f"{len(seeds) - broken} seeds held, {broken} broke a promise")
-    return 1 if broken else 0
+        violations, _ = run_seed(seed, options, KEEP.value)
+        failed += bool(violations)
+        for violation in violations:
+            print(f"  {violation}")
+    print(f"{len(seeds) - failed} seeds passed, {failed} failed")
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run soaks, and that try their parts on made-up faults."""
+"""Steps that run soaks and that check their parts on constructed data."""
 
 import asyncio
 import random
@@ -24,99 +24,103 @@
 from features.support import running
 
 REPLICAS = 3
-# Enough for two replacements and two wipes after them.
+# Enough for two replacements and two wipes.
 SECONDS = 14
-# Few enough for the slack to be a large part of what they may retry.
+# Few enough for the slack to be a large part of the retry budget.
 SHED_CALLERS = 3
 
 
-def run_in_scenario(context, seed: int, size: plan.Size) -> None:
-    """Run a soak whose logs are kept if the scenario fails, for any reason."""
+def run_in_scenario(context, seed: int, options: plan.SoakOptions) -> None:
+    """Run a soak; its logs are kept if the scenario fails for any reason."""
     logs = context.folder / "soak"
     logs.mkdir()
-    context.faults, context.served = run.run_seed(seed, size, "", logs)
-    context.faults += run.last_lines(logs) if context.faults else []
+    context.violations, context.served = run.run_seed(seed, options, "", logs)
+    context.violations += run.last_log_lines(logs) if context.violations else []
 
 
 @when("a soak of seed {seed:d} runs for {seconds:d} s")
 def soak(context, seed, seconds):
-    size = plan.Size(seconds=seconds)
-    run_in_scenario(context, seed, size)
+    options = plan.SoakOptions(seconds=seconds)
+    run_in_scenario(context, seed, options)
 
 
-@when("replicas, {count:d} of them, are replaced in a soak of seed {seed:d}")
+@when("a soak of seed {seed:d} replaces some of {count:d} replicas")
 def soak_replacing(context, count, seed):
-    size = plan.Size(replicas=count, replacing=True, seconds=SECONDS)
-    run_in_scenario(context, seed, size)
+    options = plan.SoakOptions(replicas=count, replacing=True, seconds=SECONDS)
+    run_in_scenario(context, seed, options)
 
 
 @when(
-    "replicas, {count:d} of them, with {routes:d} routes and links of {mbits:g}"
-    " Mbit/s are replaced in a soak of seed {seed:d}"
+    "a soak of seed {seed:d} with {routes:d} routes and links of {mbits:g} Mbit/s"
+    " replaces some of {count:d} replicas"
 )
 def soak_narrow(context, count, routes, mbits, seed):
-    size = plan.Size(
+    options = plan.SoakOptions(
         replicas=count,
         replacing=True,
         seconds=SECONDS,
         routes=routes,
         mbits=mbits,
     )
-    run_in_scenario(context, seed, size)
+    run_in_scenario(context, seed, options)
 
 
-@when("{count:d} poison requests come in a soak of seed {seed:d}")
+@when("a soak of seed {seed:d} sends {count:d} poison requests")
 def soak_poison(context, count, seed):
-    size = plan.Size(poisons=count, seconds=SECONDS)
-    run_in_scenario(context, seed, size)
+    options = plan.SoakOptions(poisons=count, seconds=SECONDS)
+    run_in_scenario(context, seed, options)
 
 
-@when("endpoints shed beside restarts in a soak of seed {seed:d}")
+@when("all endpoints shed while gateways restart in a soak of seed {seed:d}")
 def soak_shedding(context, seed):
-    size = plan.Size(shedding=True, seconds=SECONDS, callers=SHED_CALLERS)
-    run_in_scenario(context, seed, size)
+    options = plan.SoakOptions(
+        shedding=True, seconds=SECONDS, callers=SHED_CALLERS
+    )
+    run_in_scenario(context, seed, options)
 
 
-@then("no promise is broken and at least {served:d} requests are served")
-def kept(context, served):
-    assert not context.faults, context.faults
+@then("no guarantee is violated and at least {served:d} requests are served")
+def check_no_violations(context, served):
+    assert not context.violations, context.violations
     assert context.served >= served, context.served
 
 
 @given("a soak in which two replicas get the same port")
 def same_port(context):
-    right = ports.free_ports
+    original = ports.free_ports
 
     def free_ports(count, host=ports.HOST):
-        found = right(count, host)
+        found = original(count, host)
         return [found[0], *found[:-1]] if count == REPLICAS else found
 
     context.patched = mock.patch.object(ports, "free_ports", free_ports)
 
 
-@when("it has had {seconds:d} s for its first version")
+@when("it has {seconds:d} s to put its first version in force")
 def short_start(context, seconds):
-    size = plan.Size(replicas=REPLICAS, gateways=1)
+    options = plan.SoakOptions(replicas=REPLICAS, gateways=1)
     with (
         context.patched,
-        mock.patch.object(run, "FIRST_VERSION_S", float(seconds)),
-        mock.patch.object(driver_lib, "OPERATOR_TRIES", 1),
+        mock.patch.object(run, "FIRST_VERSION_TIMEOUT_S", float(seconds)),
+        mock.patch.object(driver_lib, "OPERATOR_ATTEMPTS", 1),
     ):
-        context.faults, context.served = run.run_seed(1, size, "")
+        context.violations, context.served = run.run_seed(1, options, "")
 
 
-@then("it reports that no replica took a version")
+@then("it reports that no replica accepted a version")
 def reports_no_version(context):
-    assert "no replica took a version" in context.faults[0], context.faults
+    assert (
+        "no replica accepted a version" in context.violations[0]
+    ), context.violations
     assert context.served == 0
 
 
-@then("the address that is in use")
+@then("it reports the address that is in use")
 def reports_address(context):
-    assert any("in use" in f for f in context.faults), context.faults
+    assert any("in use" in v for v in context.violations), context.violations
 
 
-# What a program does with SIGHUP, in place of a gateway.
+# Programs that replace a gateway, by their behaviour on SIGHUP.
 ON_SIGHUP = {
     "has not run any code": "import time; time.sleep(60)",
     "reads its settings": (
@@ -150,12 +154,12 @@
         )
 
 
-@when("the soak lets it read its settings again")
+@when("the soak sends it SIGHUP")
 def reload_gateway(context):
     fleet = mock.Mock(gateways=[context.program])
-    driver = driver_lib.Driver(fleet, [], None, None, random.Random(1))
-    fault = plan.Fault(at=0.0, kind=plan.Kind.RELOAD_GATEWAY)
-    asyncio.run(driver.do_reload_gateway(fault))
+    injector = driver_lib.FaultInjector(fleet, [], None, None, random.Random(1))
+    fault = plan.Fault(at=0.0, kind=plan.FaultKind.RELOAD_GATEWAY)
+    asyncio.run(injector.do_reload_gateway(fault))
 
 
 @then("it was started {starts:d} times and {runs}")
@@ -165,44 +169,44 @@
         assert context.program.is_running
     else:
         running.wait_until(
-            lambda: not context.program.is_running, "it goes on running"
+            lambda: not context.program.is_running, "the process still runs"
         )
 
 
-@given("a soak whose replicas are replaced {after:g} s after they were lost")
+@given("a soak whose replicas are replaced {after:g} s after their loss")
 def replaced_later(context, after):
     context.lost_at = []
 
-    class Losses(driver_lib.Driver):
-        """Notes when replicas are lost, and loses none."""
+    class Losses(driver_lib.FaultInjector):
+        """Records when replicas would be wiped, without wiping them."""
 
         async def do_wipe_replica(self, fault):
             context.lost_at.append(time.monotonic())
 
     fleet = mock.Mock()
     fleet.has_started.return_value = True
-    fleet.tolerates_losses = lambda: (
+    fleet.has_full_quorum = lambda: (
         time.monotonic() >= context.lost_at[0] + after
     )
-    book = audit.Book()
-    context.driver = Losses(fleet, [], book, None, random.Random(1))
+    observed = audit.Observations()
+    context.injector = Losses(fleet, [], observed, None, random.Random(1))
 
 
 @when(
-    "it loses replicas {gap:g} s after others, and waits for {most:g} s at most"
+    "it loses replicas {gap:g} s after others, with a repair timeout of {most:g} s"
 )
 def loses_twice(context, gap, most):
-    kind = plan.Kind.WIPE_REPLICA
+    kind = plan.FaultKind.WIPE_REPLICA
     faults = [
         plan.Fault(at=at, kind=kind, target=target)
         for at, target in ((0.0, 0), (0.0, 1), (gap, 2), (gap, 3))
     ]
-    with mock.patch.object(driver_lib, "REPAIR_S", most):
-        began = time.monotonic()
-        asyncio.run(context.driver.carry_out(faults, began))
+    with mock.patch.object(driver_lib, "REPAIR_TIMEOUT_S", most):
+        started_at = time.monotonic()
+        asyncio.run(context.injector.run_faults(faults, started_at))
 
 
-@then("the later ones are lost {at:g} s after the others, within {slack:g} s")
+@then("the later losses are {at:g} s after the first, within {slack:g} s")
 def lost_later(context, at, slack):
     first, second, third, fourth = (
         lost - context.lost_at[0] for lost in context.lost_at
@@ -213,18 +217,22 @@
 
 @then("it reports {reported}")
 def reports(context, reported):
-    faults = [
-        fault
-        for fault in audit.check(context.driver.book)
-        if "replicas" in fault
+    violations = [
+        violation
+        for violation in audit.check(context.injector.observed)
+        if "replicas" in violation
     ]
-    assert faults == ([] if reported == "nothing" else [reported]), faults
+    assert violations == (
+        [] if reported == "nothing" else [reported]
+    ), violations
 
 
 @then("seeds 0 to {most:d} draw the same faults twice")
 def same_faults(context, most):
-    context.draws = [plan.draw(seed, plan.Size()) for seed in range(most)]
-    again = [plan.draw(seed, plan.Size()) for seed in range(most)]
+    context.draws = [
+        plan.draw_faults(seed, plan.SoakOptions()) for seed in range(most)
+    ]
+    again = [plan.draw_faults(seed, plan.SoakOptions()) for seed in range(most)]
     assert context.draws == again
     kinds = {fault.kind for faults in context.draws for fault in faults}
     assert kinds == set(plan.DRAWN_KINDS)
@@ -235,29 +243,29 @@
     for faults in context.draws:
         others = [f for f in faults if f.kind in plan.REPLICA_KINDS]
         for wipe in faults:
-            if wipe.kind is not plan.Kind.WIPE_REPLICA:
+            if wipe.kind is not plan.FaultKind.WIPE_REPLICA:
                 continue
             near = [f for f in others if abs(f.at - wipe.at) < clear]
             assert near == [wipe], near
 
 
 def outcome(request: str, kind: str, **changes) -> audit.Outcome:
-    """Return a request that was served at once."""
-    body = audit.answer_body(request, "e1")
+    """Return the outcome of a request that was served within 0.1 s."""
+    body = audit.response_body(request, "e1")
     if kind == "stream":
-        numbers = range(1, audit.EVENTS + 1)
-        body = b"".join(audit.event(request, n) for n in numbers)
+        numbers = range(1, audit.STREAM_EVENTS + 1)
+        body = b"".join(audit.stream_event(request, n) for n in numbers)
     return audit.Outcome(
         **{
             "request": request,
             "kind": kind,
             "key": "k1",
             "gateway": 0,
-            "began": 10.0,
-            "ended": 10.1,
+            "started_at": 10.0,
+            "ended_at": 10.1,
             "deadline_s": 3.0,
             "status": 200,
-            "whole": True,
+            "complete": True,
             "body": body,
         }
         | changes
@@ -265,80 +273,87 @@
 
 
 def ran(request: str, at: float = 10.05) -> audit.Run:
-    """Return the run of a request at a sound endpoint."""
-    return audit.Run(request=request, endpoint="e1", at=at, sound=True)
+    """Return the run of a request at an undisturbed endpoint."""
+    return audit.Run(request=request, endpoint="e1", at=at, undisturbed=True)
 
 
-@given("what was seen in a soak without a fault")
+@given("the observations of a soak without violations")
 def without_fault(context):
-    book = audit.Book()
-    book.outcomes = [outcome("u", "unsafe"), outcome("s", "stream")]
-    book.runs = [ran("u"), ran("s")]
-    book.acknowledged = {3: 1.0}
-    book.sources[3].add(b"three")
-    book.read_back = (3, b"three")
-    book.versions = [(0, 1, 3)]
-    book.final_versions = {0: 3}
-    book.exits = [audit.Exit(name="gateway 0", code=0, took_s=3.0)]
-    context.book = book
-
-
-@when("it is changed so that {fault}")
+    observed = audit.Observations()
+    observed.outcomes = [outcome("u", "unsafe"), outcome("s", "stream")]
+    observed.runs = [ran("u"), ran("s")]
+    observed.acknowledged_at = {3: 1.0}
+    observed.sources_by_version[3].add(b"three")
+    observed.read_back = (3, b"three")
+    observed.versions_seen = [(0, 1, 3)]
+    observed.final_versions = {0: 3}
+    observed.exits = [audit.Exit(name="gateway 0", code=0, took_s=3.0)]
+    context.observed = observed
+
+
+@when("they are changed so that {fault}")
 def changed(context, fault):
-    book = context.book
-    unsafe, stream = book.outcomes
-    whole = audit.answer_body("u", "e1")
-    events = [audit.event("s", n) for n in (1, 2, 4)]
+    observed = context.observed
+    unsafe, stream = observed.outcomes
+    body = audit.response_body("u", "e1")
+    events = [audit.stream_event("s", n) for n in (1, 2, 4)]
     changes = {
-        "nothing is changed": {},
-        "an unsafe request runs twice": {"runs": [*book.runs, ran("u")]},
+        "nothing changes": {},
+        "an unsafe request runs twice": {"runs": [*observed.runs, ran("u")]},
         "a request that was refused has run": {
             "outcomes": [attrs.evolve(unsafe, status=503), stream]
         },
-        "another request's answer comes": {
+        "a response is another request's": {
             "outcomes": [
-                attrs.evolve(unsafe, body=whole.replace(b"u", b"v")),
+                attrs.evolve(unsafe, body=body.replace(b"u", b"v")),
                 stream,
             ]
         },
         "a stream skips an event": {
             "outcomes": [unsafe, attrs.evolve(stream, body=b"".join(events))]
         },
-        "an answer is cut off": {
-            "outcomes": [attrs.evolve(unsafe, status=0, whole=False), stream]
+        "a response is truncated": {
+            "outcomes": [attrs.evolve(unsafe, status=0, complete=False), stream]
+        },
+        "a response is truncated by a kill": {
+            "outcomes": [
+                attrs.evolve(unsafe, status=0, complete=False),
+                stream,
+            ],
+            "disturbances": [
+                audit.Disturbance(gateway=0, begin=10.0, end=11.0)
+            ],
         },
-        "an answer is cut off by a kill": {
-            "outcomes": [attrs.evolve(unsafe, status=0, whole=False), stream],
-            "disturbed": [audit.Span(gateway=0, begin=10.0, end=11.0)],
+        "a response comes too late": {
+            "outcomes": [attrs.evolve(unsafe, ended_at=19.0), stream]
         },
-        "an answer comes far too late": {
-            "outcomes": [attrs.evolve(unsafe, ended=19.0), stream]
+        "a request runs that was never sent": {
+            "runs": [*observed.runs, ran("x")]
         },
-        "a request runs that nobody sent": {"runs": [*book.runs, ran("x")]},
-        "a key works long after it was taken": {"revoked": {"k1": 4.0}},
+        "a key works long after its revocation": {"revoked_at": {"k1": 4.0}},
         "a request reaches an endpoint that left": {
-            "left": {"e1": 10.06 - audit.DRAIN_S - 1.0},
+            "left_at": {"e1": 10.06 - audit.DRAIN_PERIOD_S - 1.0},
         },
-        "a version goes back": {"versions": [(0, 1, 3), (0, 1, 2)]},
+        "a version goes back": {"versions_seen": [(0, 1, 3), (0, 1, 2)]},
         "an acknowledged version is lost": {
-            "acknowledged": {3: 1.0, 4: 2.0},
+            "acknowledged_at": {3: 1.0, 4: 2.0},
             "final_versions": {0: 4},
         },
         "other content is read back": {"read_back": (3, b"other")},
-        "a poison request runs on and on": {
-            "poisoned": {b"poison 1": [float(n) for n in range(20)]}
+        "a poison request is not quarantined": {
+            "poison_runs": {b"poison 1": [float(n) for n in range(20)]}
         },
-        "a proper request is refused as poison": {
+        "another request is quarantined": {
             "outcomes": [
                 unsafe,
                 attrs.evolve(stream, status=503, body=b'"quarantined"'),
             ]
         },
-        "endpoints are reached too often": {
+        "retries exceed the budget": {
             "sent": [10.5 + n for n in range(10)],
             "arrivals": [("u", 10.0 + n / 10) for n in range(24)],
         },
-        "endpoints are reached as often as they may": {
+        "retries use up the budget": {
             "sent": [10.5 + n for n in range(10)],
             "arrivals": [("u", 10.0 + n / 10) for n in range(23)],
         },
@@ -347,58 +362,62 @@
         },
     }
     for name, value in changes[fault].items():
-        setattr(book, name, value)
+        setattr(observed, name, value)
 
 
-@when("its loop is {late:g} s late while an answer is cut off")
+@when("its event loop is {late:g} s late while a response is truncated")
 def late_loop(context, late):
-    unsafe, stream = context.book.outcomes
-    cut = attrs.evolve(unsafe, status=0, whole=False)
-    context.book.outcomes = [cut, stream]
-    delay = lateness.Delay(what="loop", due=unsafe.began, late_s=late)
-    context.book.lateness.delays.append(delay)
+    unsafe, stream = context.observed.outcomes
+    cut = attrs.evolve(unsafe, status=0, complete=False)
+    context.observed.outcomes = [cut, stream]
+    delay = lateness.Delay(source="loop", due_at=unsafe.started_at, late_s=late)
+    context.observed.lateness.delays.append(delay)
 
 
-@when("a soak breaks a promise")
-def breaks_promise(context):
-    async def broken(_seed, _size, folder):
+@when("a soak finds a violation")
+def finds_violation(context):
+    async def soak_without_requests(_seed, _options, folder):
         (folder / "gateway-0.log").write_text("first\nlast words\n")
-        return audit.Book()
+        return audit.Observations()
 
     context.kept = context.folder / "kept"
-    with mock.patch.object(run, "soak", broken):
-        context.faults, _ = run.run_seed(1, plan.Size(), str(context.kept))
+    with mock.patch.object(run, "soak", soak_without_requests):
+        context.violations, _ = run.run_seed(
+            1, plan.SoakOptions(), str(context.kept)
+        )
 
 
-@then("its logs and its promise are kept, and the last lines are shown")
+@then(
+    "its logs and the violation are kept, and the last log lines are reported"
+)
 def logs_kept(context):
     (kept,) = context.kept.iterdir()
     assert (kept / "gateway-0.log").exists()
-    promise = context.faults[0]
-    assert promise in (kept / "broken.txt").read_text()
-    assert "gateway-0.log: last words" in context.faults, context.faults
+    violation = context.violations[0]
+    assert violation in (kept / "broken.txt").read_text()
+    assert "gateway-0.log: last words" in context.violations, context.violations
 
 
-@then("the report names what processes waited for")
+@then("the report names the resources that processes waited for")
 def says_load(context):
     (kept,) = context.kept.iterdir()
     assert "processes waited for cpu" in (kept / "broken.txt").read_text()
 
 
-@when("its seconds are written")
+@when("its timeline is written")
 def write_seconds(context):
     path = context.folder / timeline.FILE
-    timeline.write(context.book, path)
+    timeline.write(context.observed, path)
     context.lines = path.read_text().splitlines()
 
 
-@then("each second says how many requests were sent and served")
+@then("each second has the number of requests sent and served")
 def check_seconds(context):
     rows = [line.split(",") for line in context.lines[1:]]
     sent = sum(int(row[1]) for row in rows)
     served = sum(int(row[2]) for row in rows)
-    assert sent == len(context.book.outcomes), context.lines
-    assert served == len(context.book.outcomes), context.lines
+    assert sent == len(context.observed.outcomes), context.lines
+    assert served == len(context.observed.outcomes), context.lines
 
 
 @given("a machine on which processes have waited {seconds:g} s for {resource}")
@@ -411,8 +430,8 @@
 
 
 def read_load_of(context) -> machineload.MachineLoad:
-    """Return what the files of a made-up machine say."""
-    return machineload.read(context.folder, context.folder / "stat")
+    """Return the load that the files of a simulated machine report."""
+    return machineload.measure(context.folder, context.folder / "stat")
 
 
 @when("they wait for {seconds:g} s more")
@@ -424,20 +443,20 @@
         (context.folder / name).write_text(f"{some}\nfull total=0\n")
 
 
-@then('"{words}" is said, and 0.0 s of all others')
-def said_of_machine(context, words):
-    found = machineload.words(context.load_of_machine, read_load_of(context))
+@then('"{words}" is reported, and 0.0 s for all other resources')
+def reported_load(context, words):
+    found = machineload.describe(context.load_of_machine, read_load_of(context))
     assert words in found, found
     for name in machineload.RESOURCES:
         if name != context.resource:
             assert f"{name} 0.0 s" in found, found
 
 
-@then("exactly this is reported: {words}")
+@then("only this is reported: {words}")
 def reported(context, words):
-    faults = audit.check(context.book)
+    violations = audit.check(context.observed)
     if words == "nothing":
-        assert not faults, faults
+        assert not violations, violations
     else:
-        assert faults, "nothing is reported"
-        assert all(words in fault for fault in faults), faults
+        assert violations, "nothing is reported"
+        assert all(words in found for found in violations), violations
--- a/features/steps/timers_steps.py
+++ b/features/steps/timers_steps.py
@@ -160,7 +160,7 @@
         await until_they_run(fleet)
         await asyncio.sleep(FIRST_S)
         for place in range(context.count):
-            fleet.later_start(place)
+            fleet.mark_as_started(place)
         try:
             return [await one_round(fleet) for _ in range(times)]
         finally:
@@ -227,7 +227,7 @@
     async def story():
         fleet = fleet_lib.Fleet(context.folder)
         for place in range(context.count):
-            fleet.misbehave(place, sync_s=sync)
+            fleet.set_faults(place, sync_s=sync)
         await fleet.start(context.count, 0)
         try:
             await until_they_run(fleet)
@@ -247,7 +247,7 @@
     while time.monotonic() < began + seconds:
         states = await asyncio.gather(
             *(
-                asyncio.to_thread(fleet.dump, place)
+                asyncio.to_thread(fleet.fetch_dump, place)
                 for place in range(len(fleet.replicas))
             )
         )
--- a/features/support/machineload.py
+++ b/features/support/machineload.py
@@ -1,7 +1,7 @@
-"""Says what the machine did meanwhile: waits for its processors, disk, memory.
+"""Measures how long processes waited for processors, disk and memory.
 
-A failure that only shows on a busy machine may be due to any of these; what is
-measured here tells them apart.
+A failure that only occurs on a busy machine may be caused by a wait for any of
+these resources; the pressure counters of the kernel tell them apart.
 """
 
 import pathlib
@@ -15,44 +15,46 @@
 RESOURCES = ("cpu", "io", "memory")
 MICROSECONDS_PER_S = 1e6
 TICKS_PER_S = 100
-# Place of the time that a hypervisor took, among those of all processors.
-STEAL = 8
+# Index of the steal time in the `cpu` line of /proc/stat.
+STEAL_FIELD = 8
 
 
 @attrs.frozen(kw_only=True)
 class MachineLoad:
-    """Times since the machine's start, in seconds.
+    """Cumulative times since the machine's start, in seconds.
 
     Attributes:
-        at: When this was read.
-        waited: For how long some process waited, by resource.
-        stood_still: For how long all processes waited at once, by resource.
-        stolen: For how long a hypervisor ran something else.
+        at: Monotonic time of the measurement.
+        waiting_s: Time in which some process waited, by resource.
+        all_stalled_s: Time in which all processes waited at once, by resource.
+        stolen_s: Time in which the hypervisor ran another machine.
     """
 
     at: float
-    waited: dict[str, float]
-    stood_still: dict[str, float]
-    stolen: float
+    waiting_s: dict[str, float]
+    all_stalled_s: dict[str, float]
+    stolen_s: float
 
 
-def read(
+def measure(
     pressure: pathlib.Path = PRESSURE, stat: pathlib.Path = STAT
 ) -> MachineLoad:
-    """Return what the system counts; 0 for what it does not count."""
+    """Return the current counters; 0 for counters that the system lacks."""
     totals = {name: read_pressure(pressure / name) for name in RESOURCES}
     return MachineLoad(
         at=time.monotonic(),
-        waited={name: found.get("some", 0.0) for name, found in totals.items()},
-        stood_still={
-            name: found.get("full", 0.0) for name, found in totals.items()
+        waiting_s={
+            name: total.get("some", 0.0) for name, total in totals.items()
         },
-        stolen=read_steal(stat),
+        all_stalled_s={
+            name: total.get("full", 0.0) for name, total in totals.items()
+        },
+        stolen_s=read_steal(stat),
     )
 
 
 def read_pressure(path: pathlib.Path) -> dict[str, float]:
-    """Return the totals of one resource."""
+    """Return a resource's totals, in seconds, by kind (`some`, `full`)."""
     try:
         lines = path.read_text().splitlines()
     except OSError:
@@ -64,30 +66,34 @@
 
 
 def read_steal(path: pathlib.Path) -> float:
-    """Return the time that was stolen from all processors."""
+    """Return the steal time of all processors, in seconds."""
     try:
-        words = path.read_text().splitlines()[0].split()
+        fields = path.read_text().splitlines()[0].split()
     except OSError:
         return 0.0
-    return int(words[STEAL]) / TICKS_PER_S if len(words) > STEAL else 0.0
+    return (
+        int(fields[STEAL_FIELD]) / TICKS_PER_S
+        if len(fields) > STEAL_FIELD
+        else 0.0
+    )
 
 
-def words(before: MachineLoad, after: MachineLoad) -> str:
-    """Return what kept processes waiting between two readings."""
+def describe(before: MachineLoad, after: MachineLoad) -> str:
+    """Describe how long processes waited between two measurements."""
     parts = [
-        f"{name} {after.waited[name] - before.waited[name]:.1f} s"
-        f" (all {after.stood_still[name] - before.stood_still[name]:.1f} s)"
+        f"{name} {after.waiting_s[name] - before.waiting_s[name]:.1f} s"
+        f" (all {after.all_stalled_s[name] - before.all_stalled_s[name]:.1f} s)"
         for name in RESOURCES
     ]
     return (
         f"in {after.at - before.at:.1f} s processes waited for"
-        f" {', '.join(parts)}; {after.stolen - before.stolen:.1f} s stolen;"
+        f" {', '.join(parts)}; {after.stolen_s - before.stolen_s:.1f} s stolen;"
         f" load {read_load()}"
     )
 
 
 def read_load() -> str:
-    """Return the load averages, empty if there are none."""
+    """Return the load averages; empty if the system has none."""
     try:
         return " ".join(LOAD.read_text().split()[:3])
     except OSError:
