--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -1,8 +1,8 @@
-Feature: A test's fleet counts as started once every entry knows all of it
+Feature: A test fleet counts as started once every entry knows all members
 
-  An entry that starts last has routes and endpoints from its first heartbeat.
-  The others hear of it with their next one, up to a heartbeat later, and
-  name callers too few addresses until then.
+  The entry that starts last learns all routes and endpoints from its first
+  heartbeat. The other entries learn of it from their next heartbeat, up to one
+  heartbeat interval later, and return too few addresses to callers until then.
 
   Scenario Outline: Of 2 entries and 3 endpoints <case>
     Given a fleet of 2 entries and 3 endpoints as its entries see it
--- a/features/imports.feature
+++ b/features/imports.feature
@@ -1,9 +1,9 @@
 Feature: Modules depend on each other in one direction
 
-  Scenario: No module imports itself by way of others
-    Then no modules of the product import each other in a circle
+  Scenario: There is no import cycle
+    Then the modules of the package have no import cycle
 
-  Scenario Outline: <layer> knows nothing of <others>
+  Scenario Outline: <layer> does not import <others>
     Then no module of <layer> imports one of <others>
 
     Examples:
@@ -14,5 +14,5 @@
       | gateway | commands fakes replay              |
       | replay  | gateway commands                   |
 
-  Scenario: Only the platform's folder knows the platform's words
-    Then no source outside the platform's folder names the platform's headers
+  Scenario: Only the platform folder contains the platform's headers
+    Then no source file outside the platform folder contains its headers
--- a/features/parallel.feature
+++ b/features/parallel.feature
@@ -1,13 +1,13 @@
-Feature: Features run in several processes and no scenario is lost
+Feature: Features run in several processes without losing a scenario
 
   Scenario: The plan names every scenario once and is the same each time
     Given the plan of all features
-    Then it names every scenario once
+    Then it contains every scenario once
     And longer units come first
-    And it is the same when it is made again
+    And a second plan is the same
 
   Scenario Outline: <reported> of <scenarios> scenarios, <failed> failed, exit code <status>
-    Given a process that ends with <status> and reports <reported> of <scenarios> scenarios, <failed> failed
+    Given a process that exits with <status> and reports <reported> of <scenarios> scenarios, <failed> failed
     When the verdict is given on its report
     Then the verdict is "<passed> passed, <red> failed" with exit code <code>
 
--- a/features/proof.feature
+++ b/features/proof.feature
@@ -1,8 +1,8 @@
-Feature: What must always hold, proved under failure
+Feature: Invariants hold under simulated failures
 
   Scenario Outline: Fuzzing the <kind> machine finds nothing
     When the <kind> machine runs <examples> examples of <steps> steps
-    Then nothing that must hold was broken
+    Then no invariant was violated
 
     Examples:
       | kind    | examples | steps |
@@ -11,7 +11,7 @@
 
   Scenario Outline: Every directed history of the <kind> machine holds
     When each directed history of the <kind> machine runs
-    Then none of them broke anything
+    Then no history failed
 
     Examples:
       | kind    |
@@ -19,8 +19,8 @@
       | control |
 
   Scenario Outline: Every deliberate defect of the <kind> path is caught
-    When each deliberate defect of the <kind> path is planted in turn
-    Then at least <count> were planted and each was caught
+    When each deliberate defect of the <kind> path is injected in turn
+    Then at least <count> were injected and each was caught
 
     Examples:
       | kind    | count |
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps on when a fleet of test processes counts as started."""
+"""Steps that check when a fleet of test processes counts as started."""
 
 import json
 
@@ -14,28 +14,28 @@
 
 @attrs.frozen
 class Response:
-    """What an entry answered."""
+    """An HTTP response of an entry."""
 
     code: int
     body: bytes = b""
 
 
 @attrs.define
-class ToldFleet(fleet_lib.Fleet):
-    """A fleet without processes whose entries answer as told."""
+class ScriptedFleet(fleet_lib.Fleet):
+    """A fleet without processes, with scripted responses of its entries."""
 
     known: dict[str, tuple[int, int]] = attrs.Factory(dict)
     health: dict[str, int | None] = attrs.Factory(dict)
 
     def fetch(self, url, **arguments):
-        """Answer a health check."""
+        """Return the scripted response to a health check."""
         del arguments
         entry = next(n for n, a in self.listen.items() if a in url)
         code = self.health[entry]
         return None if code is None else Response(code)
 
     def admin_fetch(self, name, path, **arguments):
-        """Answer with what matters of an entry's dump."""
+        """Return the part of an entry's dump that the readiness check reads."""
         del path, arguments
         members, endpoints = self.known[name]
         document = {
@@ -48,8 +48,8 @@
 
 
 @given("a fleet of 2 entries and 3 endpoints as its entries see it")
-def told_fleet(context):
-    context.fleet = ToldFleet(
+def scripted_fleet(context):
+    context.fleet = ScriptedFleet(
         context.folder,
         engines=2,
         plain=1,
--- a/features/steps/imports_steps.py
+++ b/features/steps/imports_steps.py
@@ -1,4 +1,4 @@
-"""Steps on which modules import which, read from the sources."""
+"""Steps that check the imports and the texts of the source files."""
 
 import ast
 import pathlib
@@ -8,7 +8,7 @@
 ROOT = pathlib.Path(__file__).parents[2]
 SOURCES = ROOT / "src" / "_coltsfootroad"
 PACKAGE = "_coltsfootroad"
-# Put together here, so that this file holds none of them.
+# Joined at run time, so that this file does not contain the headers.
 HEADERS = [
     "-".join(words)
     for words in (
@@ -30,7 +30,7 @@
 
 
 def imports() -> dict[str, set[str]]:
-    """Return the product's modules that each module imports."""
+    """Return the modules of the package that each module imports."""
     paths = {module_name(path): path for path in SOURCES.rglob("*.py")}
     found = {}
     for name, path in paths.items():
@@ -42,8 +42,8 @@
     return found
 
 
-@then("no modules of the product import each other in a circle")
-def no_circles(context):
+@then("the modules of the package have no import cycle")
+def no_import_cycles(context):
     del context
     graph = imports()
     done: set[str] = set()
@@ -63,27 +63,27 @@
 @then("no module of {layer} imports one of {others}")
 def layers(context, layer, others):
     del context
-    closed = tuple(f"{PACKAGE}.{other}." for other in others.split())
-    bad = [
+    forbidden = tuple(f"{PACKAGE}.{other}." for other in others.split())
+    violations = [
         f"{name} imports {other}"
         for name, found in imports().items()
         if name.startswith(f"{PACKAGE}.{layer}.")
         for other in found
-        if other.startswith(closed)
+        if other.startswith(forbidden)
     ]
-    assert not bad, bad
+    assert not violations, violations
 
 
-@then("no source outside the platform's folder names the platform's headers")
-def headers_inside(context):
+@then("no source file outside the platform folder contains its headers")
+def check_headers(context):
     del context
     folders = ("src", "features", "examples", "benchmarks")
-    bad = [
-        f"{path.relative_to(ROOT)} names {header}"
+    violations = [
+        f"{path.relative_to(ROOT)} contains {header}"
         for folder in folders
         for path in (ROOT / folder).rglob("*.py")
         if "platform_steps" not in path.name
         for header in HEADERS
         if header in path.read_text()
     ]
-    assert not bad, bad
+    assert not violations, violations
--- a/features/steps/parallel_steps.py
+++ b/features/steps/parallel_steps.py
@@ -1,4 +1,4 @@
-"""Steps on features that run in several processes."""
+"""Steps that check the parallel runner of the features."""
 
 import json
 import subprocess
@@ -14,17 +14,17 @@
 
 
 def make_plan() -> list[parallel.Unit]:
-    """Return the plan that `make test` follows."""
+    """Return the units that `make test` runs."""
     durations = json.loads(parallel.DURATIONS.read_text())
-    return parallel.plan(parallel.FEATURES.rglob("*.feature"), durations)
+    return parallel.plan_units(parallel.FEATURES.rglob("*.feature"), durations)
 
 
 @given("the plan of all features")
-def plan(context):
+def plan_units(context):
     context.units = make_plan()
 
 
-@then("it names every scenario once")
+@then("it contains every scenario once")
 def every_scenario(context):
     planned = [target for unit in context.units for target in unit.targets]
     wanted = {
@@ -38,7 +38,7 @@
 
 
 def scenario_lines(path) -> list[int]:
-    """Return the lines of all scenarios of a feature, rows of tables apart."""
+    """Return the lines of all scenarios of a feature, one per outline row."""
     feature = behave_parser.parse_file(str(path))
     return [scenario.line for scenario in feature.walk_scenarios()]
 
@@ -49,13 +49,13 @@
     assert seconds == sorted(seconds, reverse=True)
 
 
-@then("it is the same when it is made again")
+@then("a second plan is the same")
 def same_again(context):
     assert make_plan() == context.units
 
 
 @given(
-    "a process that ends with {status:d} and reports {reported:d} of"
+    "a process that exits with {status:d} and reports {reported:d} of"
     " {scenarios:d} scenarios, {failed:d} failed"
 )
 def process(context, status, reported, scenarios, failed):
@@ -69,10 +69,10 @@
     if words:
         text = f"<testsuite>{cases}</testsuite>"
         (folder / "TESTS-x.xml").write_text(text)
-    ended = subprocess.CompletedProcess([], status, stdout="")
+    completed = subprocess.CompletedProcess([], status, stdout="")
     targets = tuple(f"features/x.feature:{n}" for n in range(scenarios))
     unit = parallel.Unit(targets, 1.0)
-    with mock.patch.object(subprocess, "run", return_value=ended):
+    with mock.patch.object(subprocess, "run", return_value=completed):
         parallel.run_unit(unit, folder)
     context.status = status
 
--- a/features/steps/proof_steps.py
+++ b/features/steps/proof_steps.py
@@ -1,4 +1,4 @@
-"""Steps that fuzz, run directed histories and plant defects."""
+"""Steps that run fuzzing, directed histories and injected defects."""
 
 import pathlib
 
@@ -18,36 +18,36 @@
     requestmachine.run(machine, examples, steps)
 
 
-@then("nothing that must hold was broken")
-def check_nothing(context):
-    """The machine raises by itself; reaching this step is the proof."""
+@then("no invariant was violated")
+def check_no_violation(context):
+    """Pass: the machine raises in the previous step on a violation."""
 
 
 @when("each directed history of the {kind} machine runs")
 def run_histories(context, kind):
     machine, table, _ = mutantrun.MACHINES[kind]
-    context.broken = {}
+    context.failures = {}
     for label in table:
         try:
             histories.run_one(machine, table, label)
         except AssertionError as error:
-            context.broken[label] = error
+            context.failures[label] = error
 
 
-@then("none of them broke anything")
+@then("no history failed")
 def check_histories(context):
-    assert not context.broken, context.broken
+    assert not context.failures, context.failures
 
 
-@when("each deliberate defect of the {kind} path is planted in turn")
-def plant(context, kind):
-    context.verdicts = mutantrun.judge_all(kind)
+@when("each deliberate defect of the {kind} path is injected in turn")
+def inject_defects(context, kind):
+    context.results = mutantrun.check_all_defects(kind)
     TABLE.mkdir(parents=True, exist_ok=True)
-    lines = [f"| {v.label} | {v.by} |" for v in context.verdicts]
+    lines = [f"| {r.label} | {r.caught_by} |" for r in context.results]
     (TABLE / f"{kind}.md").write_text("\n".join(lines) + "\n")
 
 
-@then("at least {count:d} were planted and each was caught")
+@then("at least {count:d} were injected and each was caught")
 def check_caught(context, count):
-    missed = [v.label for v in context.verdicts if not v.caught]
-    assert len(context.verdicts) >= count and not missed, missed
+    missed = [r.label for r in context.results if not r.caught]
+    assert len(context.results) >= count and not missed, missed
--- a/features/steps/repairdefects_steps.py
+++ b/features/steps/repairdefects_steps.py
@@ -97,7 +97,7 @@
     assert all(holds(check) for check in CHECKS)
     missed = []
     for label in mutants.REPAIRING:
-        with mutants.planted(mutants.REPAIRING, label):
+        with mutants.injected(mutants.REPAIRING, label):
             if all(holds(check) for check in CHECKS):
                 missed.append(label)
     assert len(mutants.REPAIRING) >= 7 and not missed, missed
--- a/features/steps/replacement_steps.py
+++ b/features/steps/replacement_steps.py
@@ -65,7 +65,7 @@
 def defects_caught(context):
     missed = []
     for label in mutants.REPLACING:
-        with mutants.planted(mutants.REPLACING, label):
+        with mutants.injected(mutants.REPLACING, label):
             caught = any(breaks(row) for row in context.table)
         if not caught:
             missed.append(label)
--- a/features/steps/retryhistories_steps.py
+++ b/features/steps/retryhistories_steps.py
@@ -50,7 +50,7 @@
 
 @then("one of the histories breaks the bound")
 def caught(context):
-    with mutants.planted(retrydefects.DEFECTS, context.label):
+    with mutants.injected(retrydefects.DEFECTS, context.label):
         assert any(map(breaks, retryhistories.DIRECTED.values()))
 
 
--- a/features/steps/verdict_steps.py
+++ b/features/steps/verdict_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the script that turns a report into CI's verdict."""
+"""Steps that check the CI script that derives a verdict from the reports."""
 
 import pathlib
 import subprocess
@@ -10,7 +10,7 @@
 VERDICT = pathlib.Path(__file__).parents[2] / ".ci" / "verdict.py"
 CHILDREN = {
     "pass": "",
-    "fail": '<failure message="the promise that was broken"/>',
+    "fail": '<failure message="the guarantee that was violated"/>',
     "error": "<error/>",
     "skip": "<skipped/>",
 }
@@ -40,7 +40,7 @@
 
 
 def write_reports(context, report: str) -> None:
-    """Write a JUnit report with a scenario for each word."""
+    """Write a JUnit report with one test case for each word of `report`."""
     folder = context.folder / "junit"
     folder.mkdir()
     if report != "nothing":
@@ -52,7 +52,7 @@
 
 
 def give_verdict(folder, tests: str, lint: str) -> subprocess.CompletedProcess:
-    """Run the script on the reports below a folder."""
+    """Run the verdict script on the reports below a folder."""
     return subprocess.run(
         [sys.executable, str(VERDICT), str(folder / "junit"), tests, lint],
         cwd=folder,
--- a/features/support/__init__.py
+++ b/features/support/__init__.py
@@ -1,1 +1,1 @@
-"""Machines and oracles that the steps share."""
+"""State machines, oracles and fixtures that the steps share."""
--- a/features/support/histories.py
+++ b/features/support/histories.py
@@ -1,7 +1,7 @@
-"""Directed histories: the shortest ways to the hardest failures.
+"""Directed histories: short event sequences that lead to rare failures.
 
-Each runs on a machine after `build`; the machine's oracle and teardown
-judge it, and some assert more.
+Each history runs on a machine after `build`. The machine's oracle and teardown
+check it; some histories assert more.
 """
 
 import random
@@ -23,7 +23,7 @@
 
 
 def history(table):
-    """Register a history under the words of its name."""
+    """Register a history; its name, with spaces, is the label."""
 
     def register(run):
         table[run.__name__.replace("_", " ")] = run
@@ -35,8 +35,8 @@
 # --- request path ------------------------------------------------------------
 
 
-def ask(machine, entry, prompt=200, output=4, seconds=12.0, blocks=0):
-    """Ask an engine through an entry."""
+def submit_prompt(machine, entry, prompt=200, output=4, seconds=12.0, blocks=0):
+    """Submit a prompt through an entry; return its record."""
     machine.submit(
         entry,
         service="assistant",
@@ -49,45 +49,45 @@
 
 
 def charge(machine, entry, key="k1", body="x", seconds=5.0):
-    """Charge through an entry."""
+    """Submit a charge through an entry; return its record."""
     machine.charge(entry, key, body, seconds)
     return machine.world.callers.records[f"r{machine.number}"]
 
 
-def wait(machine, seconds):
-    """Let time pass."""
+def advance(machine, seconds):
+    """Run the simulated world for some seconds."""
     machine.world.network.run_until(machine.world.network.now + seconds)
 
 
 @history(REQUEST)
 def entry_dies_with_a_group(machine):
-    record = ask(machine, "entry-0", prompt=30_000)
-    wait(machine, 0.6)
+    record = submit_prompt(machine, "entry-0", prompt=30_000)
+    advance(machine, 0.6)
     machine.world.entries.kill("entry-0")
     assert not record.finished
-    wait(machine, 1.0)
+    advance(machine, 1.0)
 
 
 @history(REQUEST)
 def entry_dies_in_a_charge_and_it_is_resent(machine):
     charge(machine, "entry-0", seconds=1.0)
-    wait(machine, 0.1)
+    advance(machine, 0.1)
     machine.world.entries.kill("entry-0")
     for _ in range(5):
-        wait(machine, 1.5)
+        advance(machine, 1.5)
         resent = charge(machine, "entry-1")
-    wait(machine, 2.0)
+    advance(machine, 2.0)
     assert resent.failure.ran is errors.Ran.UNKNOWN, resent
 
 
 @history(REQUEST)
 def charge_is_resent_while_it_runs_and_after(machine):
     first = charge(machine, "entry-0")
-    wait(machine, 0.1)
+    advance(machine, 0.1)
     second = charge(machine, "entry-1")
-    wait(machine, 1.5)
+    advance(machine, 1.5)
     third = charge(machine, "entry-1")
-    wait(machine, 1.0)
+    advance(machine, 1.0)
     assert first.finished and third.finished
     assert second.failure.code is errors.ErrorCode.IN_PROGRESS, second
 
@@ -95,43 +95,43 @@
 @history(REQUEST)
 def key_comes_with_another_body(machine):
     charge(machine, "entry-0")
-    wait(machine, 1.0)
+    advance(machine, 1.0)
     other = charge(machine, "entry-1", body="y")
-    wait(machine, 1.0)
+    advance(machine, 1.0)
     assert other.failure.code is errors.ErrorCode.KEY_REUSED, other
 
 
 @history(REQUEST)
 def caller_hangs_up_in_a_charge(machine):
     record = charge(machine, "entry-0")
-    wait(machine, 0.1)
+    advance(machine, 0.1)
     machine.hang_up(machine.number, "entry-0")
-    wait(machine, 2.0)
+    advance(machine, 2.0)
     resent = charge(machine, "entry-1")
-    wait(machine, 1.0)
+    advance(machine, 1.0)
     assert resent.finished and not record.failure, resent
 
 
 @history(REQUEST)
 def service_dies_in_a_charge(machine):
     record = charge(machine, "entry-0")
-    wait(machine, 0.1)
+    advance(machine, 0.1)
     for name in requestmachine.PLAIN:
         machine.world.endpoints.kill(name)
-    wait(machine, 1.0)
+    advance(machine, 1.0)
     machine.start_endpoints(None)
-    wait(machine, 3.0)
+    advance(machine, 3.0)
     assert record.failure.ran is errors.Ran.UNKNOWN, record
 
 
 @history(REQUEST)
 def engine_dies_in_a_stream(machine):
-    records = [ask(machine, "entry-0", output=8) for _ in range(3)]
-    wait(machine, 0.1)
+    records = [submit_prompt(machine, "entry-0", output=8) for _ in range(3)]
+    advance(machine, 0.1)
     machine.world.endpoints.kill("engine-0")
-    wait(machine, 0.02)
+    advance(machine, 0.02)
     machine.world.endpoints.kill("engine-1")
-    wait(machine, 5.0)
+    advance(machine, 5.0)
     assert all(record.finished for record in records), records
 
 
@@ -141,41 +141,43 @@
     machine.world.network.extra_delay_s = 0.3
     machine.oracle.uninformed.update(requestmachine.ENTRIES)
     records = [
-        ask(machine, name, output=8)
+        submit_prompt(machine, name, output=8)
         for name in requestmachine.ENTRIES
         for _ in range(5)
     ]
-    wait(machine, 8.0)
+    advance(machine, 8.0)
     assert all(record.finished for record in records), records
 
 
 @history(REQUEST)
 def cancels_are_lost(machine):
-    ask(machine, "entry-0", prompt=30_000)
-    wait(machine, 0.5)
+    submit_prompt(machine, "entry-0", prompt=30_000)
+    advance(machine, 0.5)
     machine.hang_up(machine.number, "entry-0")
     machine.world.network.cut("entry-0", "*", both=False)
-    ask(machine, "entry-0", prompt=30_000)
-    wait(machine, 0.2)
+    submit_prompt(machine, "entry-0", prompt=30_000)
+    advance(machine, 0.2)
     machine.world.network.heal()
-    record = ask(machine, "entry-0", prompt=30_000)
-    wait(machine, 0.6)
+    record = submit_prompt(machine, "entry-0", prompt=30_000)
+    advance(machine, 0.6)
     machine.world.network.cut("entry-0", "*", both=False)
     machine.hang_up(machine.number, "entry-0")
-    wait(machine, 0.2)
+    advance(machine, 0.2)
     assert not record.finished
 
 
 @history(REQUEST)
 def cancel_is_lost_while_its_engine_works(machine):
-    # Fuzzing alone found a cancel that is never repeated only with luck.
-    record = ask(machine, "entry-0", prompt=400, output=2_000, seconds=20.0)
-    wait(machine, 0.3)
+    # Fuzzing alone rarely finds a cancel that is never repeated.
+    record = submit_prompt(
+        machine, "entry-0", prompt=400, output=2_000, seconds=20.0
+    )
+    advance(machine, 0.3)
     machine.world.network.cut("entry-0", "*", both=False)
     machine.hang_up(machine.number, "entry-0")
-    wait(machine, 0.2)
+    advance(machine, 0.2)
     machine.world.network.heal()
-    wait(machine, 3.0)
+    advance(machine, 3.0)
     assert not record.finished
 
 
@@ -183,9 +185,9 @@
 def isolated_entry_stops_admitting(machine):
     machine.world.network.cut("control", "entry-0")
     machine.patch({"services": {"assistant": {"max_queue": 7}}})
-    wait(machine, requestmachine.BOUND_S + 1.0)
-    record = ask(machine, "entry-0")
-    wait(machine, 1.0)
+    advance(machine, requestmachine.BOUND_S + 1.0)
+    record = submit_prompt(machine, "entry-0")
+    advance(machine, 1.0)
     assert record.failure.code is errors.ErrorCode.ENTRY_FENCED, record
 
 
@@ -196,10 +198,10 @@
         machine.patch({"services": {"assistant": {"max_queue": 9}}})
         machine.world.network.extra_delay_s = 1.9
         machine.oracle.uninformed.update(requestmachine.ENTRIES)
-        wait(machine, 1.7)
+        advance(machine, 1.7)
     machine.world.network.cut("control", "entry-0")
     machine.patch({"services": {"assistant": {"max_queue": 8}}})
-    wait(machine, 4.0)
+    advance(machine, 4.0)
 
 
 @history(REQUEST)
@@ -208,11 +210,11 @@
     for size in range(1, 20):
         machine.patch({"services": {"assistant": {"max_queue": size}}})
     machine.world.entries.start("entry-0")
-    wait(machine, 1.0)
+    advance(machine, 1.0)
     fresh = machine.world.entries.by_name["entry-0"].core.freshness
     assert fresh.config.services["assistant"].max_queue == 19
     machine.patch({"services": {"assistant": {"max_queue": 5}}})
-    wait(machine, 2.0)
+    advance(machine, 2.0)
     assert fresh.config.services["assistant"].max_queue == 5
 
 
@@ -229,12 +231,12 @@
     )
     machine.world.endpoints.leave("engine-0")
     machine.oracle.left_at["engine-0"] = machine.world.network.now
-    wait(machine, requestmachine.LEAVE_S + 0.1)
+    advance(machine, requestmachine.LEAVE_S + 0.1)
     for entry in machine.world.entries.by_name.values():
         machine.world.entries.run_core(entry, entry.core.on_announcement, old)
     for _ in range(12):
-        ask(machine, "entry-0")
-    wait(machine, 1.0)
+        submit_prompt(machine, "entry-0")
+    advance(machine, 1.0)
 
 
 @history(REQUEST)
@@ -251,21 +253,21 @@
     )
     world.endpoints.kill("engine-0")
     world.endpoints.start("engine-0")
-    wait(machine, 1.0)
+    advance(machine, 1.0)
     world.endpoints.leave("engine-0")
     machine.oracle.left_at["engine-0"] = world.network.now
-    wait(machine, requestmachine.LEAVE_S + 0.1)
+    advance(machine, requestmachine.LEAVE_S + 0.1)
     for entry in world.entries.by_name.values():
         world.entries.run_core(entry, entry.core.on_announcement, old)
     for _ in range(12):
-        ask(machine, "entry-0")
-    wait(machine, 1.0)
+        submit_prompt(machine, "entry-0")
+    advance(machine, 1.0)
 
 
 @history(REQUEST)
 def group_ends_and_its_engines_are_free_at_once(machine):
-    record = ask(machine, "entry-0", prompt=30_000)
-    wait(machine, 4.0)
+    record = submit_prompt(machine, "entry-0", prompt=30_000)
+    advance(machine, 4.0)
     assert record.finished, record
     assert (
         not machine.world.control.hub.groups.holds
@@ -274,12 +276,12 @@
 
 @history(REQUEST)
 def workspace_over_its_rate_is_told_at_once(machine):
-    ask(machine, "entry-0")
-    wait(machine, 0.2)
+    submit_prompt(machine, "entry-0")
+    advance(machine, 0.2)
     core = machine.world.entries.by_name["entry-0"].core
     core.limits.meter("shop").tokens = -50.0 * requestmachine.TOKENS_PER_S
-    record = ask(machine, "entry-0")
-    wait(machine, 0.01)
+    record = submit_prompt(machine, "entry-0")
+    advance(machine, 0.01)
     assert record.failure.code is errors.ErrorCode.RATE_LIMITED, record
     assert record.failure.retry_after_s > 10, record
     core.limits.meter("shop").tokens = 0.0
@@ -290,8 +292,8 @@
     for number in range(10):
         entry = requestmachine.ENTRIES[number % 2]
         for _ in range(8):
-            ask(machine, entry, prompt=3_000, output=8, seconds=6.0)
-        wait(machine, 0.7)
+            submit_prompt(machine, entry, prompt=3_000, output=8, seconds=6.0)
+        advance(machine, 0.7)
         if number == 5:
             machine.world.network.cut("control", "entry-0")
 
@@ -299,48 +301,50 @@
 @history(REQUEST)
 def shares_come_again_after_a_long_outage(machine):
     for _ in range(4):
-        ask(machine, "entry-0", prompt=3_000, output=8, seconds=6.0)
-    wait(machine, 8.0)
+        submit_prompt(machine, "entry-0", prompt=3_000, output=8, seconds=6.0)
+    advance(machine, 8.0)
     machine.world.control.stop()
-    wait(machine, 8.0)
+    advance(machine, 8.0)
     machine.world.control.start()
-    wait(machine, 7.0)
-    record = ask(machine, "entry-0", seconds=3.0)
-    wait(machine, 4.0)
+    advance(machine, 7.0)
+    record = submit_prompt(machine, "entry-0", seconds=3.0)
+    advance(machine, 4.0)
     assert record.finished, record
 
 
 @history(REQUEST)
 def shares_over_a_restart_of_control(machine):
     for _ in range(8):
-        ask(machine, "entry-0", prompt=3_000, output=8, seconds=6.0)
-    wait(machine, 0.8)
+        submit_prompt(machine, "entry-0", prompt=3_000, output=8, seconds=6.0)
+    advance(machine, 0.8)
     for _ in range(3):
         machine.world.network.cut("entry-0", "control")
         machine.world.control.stop()
         machine.world.control.start()
         for _ in range(8):
-            ask(machine, "entry-1", prompt=3_000, output=8, seconds=6.0)
-        wait(machine, 0.9)
+            submit_prompt(
+                machine, "entry-1", prompt=3_000, output=8, seconds=6.0
+            )
+        advance(machine, 0.9)
         machine.world.network.heal()
-        wait(machine, 5.0)
+        advance(machine, 5.0)
 
 
 # --- control state -------------------------------------------------------------
 
 
-def pause(machine, seconds):
-    """Let time pass."""
+def advance_cluster(machine, seconds):
+    """Run the simulated cluster for some seconds."""
     machine.cluster.run_until(machine.cluster.now + seconds)
 
 
-def others(machine, name):
-    """Return the other voters."""
+def other_voters(machine, name):
+    """Return the names of the other voters."""
     return [n for n in machine.voters() if n != name]
 
 
 def patch(machine, name, base, number):
-    """Patch a version through a replica."""
+    """Send a patch of version `base` through a replica."""
     return machine.cluster.call(
         name,
         messages.PatchConfig(
@@ -355,18 +359,18 @@
 def read_from_a_leader_that_was_cut_off(machine):
     old = machine.cluster.leader().name
     machine.isolate(old)
-    rest = others_known(machine, old)
-    # The cut-off one steps down after the longest pause, so another has to be
-    # elected after the shortest for both to believe that they lead.
-    elect_soon(machine, rest[0])
-    patch(machine, rest[0], 0, 1)
+    remaining = other_replicas(machine, old)
+    # The isolated leader steps down after the longest election timeout. Another
+    # leader has to be elected after the shortest for both to lead at once.
+    shorten_election_timeouts(machine, remaining[0])
+    patch(machine, remaining[0], 0, 1)
     for _ in range(30):
-        pause(machine, 0.1)
+        advance_cluster(machine, 0.1)
         machine.read(old)
 
 
-def elect_soon(machine, *names):
-    """Let replicas' election pauses be the shortest that there may be."""
+def shorten_election_timeouts(machine, *names):
+    """Set the election timeouts of replicas to the minimum."""
     cluster = machine.cluster
     for name in names:
         replica = cluster.replicas[name]
@@ -389,8 +393,8 @@
     assert granted == [True, False, True], granted
 
 
-def others_known(machine, name):
-    """Return the other replicas by name, leader or not."""
+def other_replicas(machine, name):
+    """Return the names of the other replicas of the cluster."""
     return [n for n in machine.cluster.replicas if n != name]
 
 
@@ -398,7 +402,7 @@
 def cut_off_leader_steps_down(machine):
     old = machine.cluster.leader()
     machine.isolate(old.name)
-    pause(machine, 4.0)
+    advance_cluster(machine, 4.0)
     assert not old.node.raft.is_leader
 
 
@@ -408,29 +412,29 @@
     machine.isolate(old.name)
     for number in range(3):
         patch(machine, old.name, number, number + 1)
-    pause(machine, 3.0)
-    rest = others_known(machine, old.name)
-    patch(machine, rest[0], 0, 50)
-    pause(machine, 1.0)
+    advance_cluster(machine, 3.0)
+    remaining = other_replicas(machine, old.name)
+    patch(machine, remaining[0], 0, 50)
+    advance_cluster(machine, 1.0)
     machine.mend()
-    pause(machine, 2.0)
+    advance_cluster(machine, 2.0)
     machine.restart(old.name)
-    pause(machine, 2.0)
-    patch(machine, rest[0], 1, 51)
+    advance_cluster(machine, 2.0)
+    patch(machine, remaining[0], 1, 51)
 
 
 @history(CONTROL)
 def replica_that_missed_entries_cannot_lead(machine):
     leader = machine.cluster.leader().name
-    behind, ahead = others_known(machine, leader)
+    behind, ahead = other_replicas(machine, leader)
     machine.isolate(behind)
     for number in range(3):
         patch(machine, leader, number, number + 1)
-        pause(machine, 0.3)
+        advance_cluster(machine, 0.3)
     machine.crash(leader)
     machine.cluster.cuts.clear()
     machine.freeze(ahead, None, 2.0)
-    pause(machine, 8.0)
+    advance_cluster(machine, 8.0)
 
 
 @history(CONTROL)
@@ -476,8 +480,8 @@
     cluster = machine.cluster
     for number in range(100):
         patch(machine, cluster.leader().name, number, number + 1)
-    pause(machine, 1.0)
-    lost = next(r for r in others(machine, cluster.leader().name))
+    advance_cluster(machine, 1.0)
+    lost = next(r for r in other_voters(machine, cluster.leader().name))
     known = machine.voters()[lost]
     machine.crash(lost)
     cluster.add(lost)
@@ -487,8 +491,8 @@
     assert machine.voters()[lost] == known, "it votes without the log"
 
 
-def wait_for_entries(cluster, leader: str, name: str) -> None:
-    """Let time pass until a replica has stored an entry of the leader."""
+def run_until_entry_stored(cluster, leader: str, name: str) -> None:
+    """Run the cluster until a replica has stored an entry of the leader."""
     identity = cluster.identity(cluster.replicas[name]).identity
     progress = cluster.replicas[leader].node.raft.progress[identity]
     end = cluster.now + 0.5
@@ -501,24 +505,24 @@
 def swap_of_a_voter_cannot_split_the_system(machine):
     cluster = machine.cluster
     leader = cluster.leader().name
-    out, stays = others_known(machine, leader)
+    out, stays = other_replicas(machine, leader)
     cluster.add("d")
-    # Left to itself the leader gives it a vote at the next heartbeat after it
+    # Without the cut, the leader would promote d at the next heartbeat after d
     # has stored an entry.
     cluster.cuts |= {("d", leader), (leader, "d")}
     machine.change(messages.ReplicaAction.LEARN, "d")
-    pause(machine, 1.0)
+    advance_cluster(machine, 1.0)
     cluster.cuts.clear()
-    wait_for_entries(cluster, leader, "d")
-    for one in (leader, "d"):
+    run_until_entry_stored(cluster, leader, "d")
+    for member in (leader, "d"):
         for other in (out, stays):
-            cluster.cuts |= {(one, other), (other, one)}
+            cluster.cuts |= {(member, other), (other, member)}
     out_identity = machine.voters()[out]
     machine.change(messages.ReplicaAction.PROMOTE, "d", out_identity)
     patch(machine, leader, 0, 1)
-    pause(machine, 1.0)
+    advance_cluster(machine, 1.0)
     patch(machine, stays, 0, 2)
-    pause(machine, 4.0)
+    advance_cluster(machine, 4.0)
     machine.crash("d")
 
 
@@ -526,13 +530,13 @@
 def second_replica_is_lost_right_after_a_repair(machine):
     cluster = machine.cluster
     leader = cluster.leader().name
-    first, second = others_known(machine, leader)
+    first, second = other_replicas(machine, leader)
     patch(machine, leader, 0, 1)
     machine.lose_disk(first)
     machine.crash(second)
-    pause(machine, 3.0)
+    advance_cluster(machine, 3.0)
     answer = patch(machine, first, 1, 2)
-    pause(machine, 2.0)
+    advance_cluster(machine, 2.0)
     assert answer.answer is not None, "no quorum after the repair"
 
 
@@ -542,44 +546,44 @@
     leader = cluster.leader().name
     for number in range(5):
         patch(machine, leader, number, number + 1)
-        pause(machine, 0.3)
+        advance_cluster(machine, 0.3)
     for name in cluster.replicas:
         machine.snapshot(name)
-    lost = others(machine, leader)[0]
+    lost = other_voters(machine, leader)[0]
     machine.lose_disk(lost)
-    pause(machine, 3.0)
+    advance_cluster(machine, 3.0)
     log = cluster.replicas[lost].node.raft.log
     assert log.snapshot.index, "it was sent the log, not the snapshot"
     patch(machine, leader, 5, 6)
-    pause(machine, 2.0)
+    advance_cluster(machine, 2.0)
 
 
 @history(CONTROL)
 def key_is_claimed_by_two(machine):
     for token in ("t1", "t2", "t1", "t2"):
         machine.claim("a", "k1", token)
-        pause(machine, 1.2)
+        advance_cluster(machine, 1.2)
 
 
 @history(CONTROL)
 def lease_is_wanted_by_two(machine):
     for number in range(80):
         machine.lease("a", "x" if number < 4 else "xy"[number // 8 % 2])
-        pause(machine, 0.1)
+        advance_cluster(machine, 0.1)
 
 
 @history(CONTROL)
 def lease_is_granted_when_its_asker_has_given_up(machine):
     leader = machine.cluster.leader().name
     machine.lease(leader, "y")
-    pause(machine, 0.3)
-    for name in others_known(machine, leader):
+    advance_cluster(machine, 0.3)
+    for name in other_replicas(machine, leader):
         machine.crash(name)
-    # Nobody can grant it now, and y holds the lease as it is asked for.
+    # Without a quorum no lease can be granted, and y holds it at this request.
     machine.lease(leader, "x")
-    pause(machine, 3.0)
+    advance_cluster(machine, 3.0)
     machine.mend()
-    pause(machine, 3.0)
+    advance_cluster(machine, 3.0)
     granted = [holder for holder, *_ in machine.cluster.leases]
     assert granted[-1] == "x", granted
 
@@ -588,7 +592,7 @@
 def operators_race_under_one_number(machine):
     first = patch(machine, "a", 0, 1)
     second = patch(machine, "b", 0, 2)
-    pause(machine, 2.0)
+    advance_cluster(machine, 2.0)
     refused = [o for o in (first, second) if o.answer.failure is not None]
     assert len(refused) == 1, "both patches were merged"
 
@@ -596,12 +600,12 @@
 @history(CONTROL)
 def patch_is_resent_after_a_lost_answer(machine):
     first = patch(machine, "a", 0, 1)
-    pause(machine, 1.0)
+    advance_cluster(machine, 1.0)
     machine.crash(machine.cluster.leader().name)
-    pause(machine, 4.0)
+    advance_cluster(machine, 4.0)
     machine.mend()
     second = patch(machine, "b", 0, 1)
-    pause(machine, 2.0)
+    advance_cluster(machine, 2.0)
     assert second.answer == first.answer, second.answer
 
 
@@ -612,14 +616,14 @@
         leader = machine.cluster.leader()
         if leader is not None:
             machine.crash(leader.name)
-        pause(machine, 1.3)
+        advance_cluster(machine, 1.3)
         for name in list(machine.cluster.replicas):
             machine.restart(name)
-        pause(machine, 4.0)
+        advance_cluster(machine, 4.0)
 
 
 def run_one(machine_class, table, label) -> None:
-    """Run one history and its teardown; raises when something fails."""
+    """Run a history and its teardown for each seed; raise on a failure."""
     for seed in SEEDS:
         machine = machine_class()
         machine.build(seed=seed)
--- a/features/support/mutantrun.py
+++ b/features/support/mutantrun.py
@@ -1,4 +1,4 @@
-"""Runs a machine's histories and fuzzing against one planted defect."""
+"""Runs directed histories and fuzzing against injected defects."""
 
 import concurrent.futures
 import os
@@ -29,42 +29,46 @@
 
 
 @attrs.frozen
-class Verdict:
+class DefectResult:
     """Whether and how a defect was caught.
 
-    `by` names the history, or says after how many fuzzed examples.
+    `caught_by` is the name of the history, or the number of fuzzing examples.
     """
 
     label: str
     caught: bool
-    by: str
+    caught_by: str
 
 
-def judge(kind: str, label: str) -> Verdict:
-    """Plant one defect and look for it."""
-    machine, known, table = MACHINES[kind]
-    with mutants.planted(table, label):
-        for name in known:
-            if fails(histories.run_one, machine, known, name):
-                return Verdict(label, True, name)
+def check_defect(kind: str, label: str) -> DefectResult:
+    """Inject one defect and run the histories and fuzzing to catch it."""
+    machine, directed, table = MACHINES[kind]
+    with mutants.injected(table, label):
+        for name in directed:
+            if violates_invariant(histories.run_one, machine, directed, name):
+                return DefectResult(label, True, name)
         examples = []
 
-        class Counted(machine):
+        class CountingMachine(machine):
 
             def __init__(self):
                 super().__init__()
                 examples.append(1)
 
-        if fails(requestmachine.run, Counted, EXAMPLES, STEPS):
-            return Verdict(label, True, f"fuzzing, example {len(examples)}")
-    return Verdict(label, False, "")
+        if violates_invariant(
+            requestmachine.run, CountingMachine, EXAMPLES, STEPS
+        ):
+            return DefectResult(
+                label, True, f"fuzzing, example {len(examples)}"
+            )
+    return DefectResult(label, False, "")
 
 
-def fails(call, *arguments) -> bool:
-    """Return whether an oracle or an invariant rejects a call.
+def violates_invariant(call, *arguments) -> bool:
+    """Return whether a call violates an oracle or an invariant.
 
-    Any other error is a fault of the defect or of the machine itself and is
-    let through: it must not count as caught.
+    Any other error is a fault in the defect or the machine. It propagates, so
+    that it does not count as caught.
     """
     try:
         call(*arguments)
@@ -73,8 +77,8 @@
     return False
 
 
-def judge_all(kind: str) -> list[Verdict]:
-    """Judge all defects of a kind, a few processes at a time."""
+def check_all_defects(kind: str) -> list[DefectResult]:
+    """Check all defects of a kind in WORKERS processes."""
     labels = list(MACHINES[kind][2])
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
-        return list(pool.map(judge, [kind] * len(labels), labels))
+        return list(pool.map(check_defect, [kind] * len(labels), labels))
--- a/features/support/mutants.py
+++ b/features/support/mutants.py
@@ -1,4 +1,4 @@
-"""Deliberate defects; each must be caught by the machine it belongs to."""
+"""Deliberate defects, each of which the tests of its table must catch."""
 
 import contextlib
 from unittest import mock
@@ -40,9 +40,10 @@
 
 
 def defect(table, owner, name):
-    """Register a function that replaces `owner.name` by a wrong one.
+    """Register a defect that replaces `owner.name`.
 
-    The function gets the right one and returns the wrong one.
+    The decorated function gets the original value and returns the defective
+    one. Its name, with spaces, is the label of the defect.
     """
 
     def register(make):
@@ -54,11 +55,11 @@
 
 
 @contextlib.contextmanager
-def planted(table, label):
-    """Run with one defect in place."""
+def injected(table, label):
+    """Patch one defect in for the duration of the context."""
     owner, name, make = table[label]
-    right = getattr(owner, name)
-    with mock.patch.object(owner, name, make(right)):
+    original = getattr(owner, name)
+    with mock.patch.object(owner, name, make(original)):
         yield
 
 
@@ -70,12 +71,12 @@
 
 
 @defect(REQUEST, Attempts, "attempt_failed")
-def retries_a_lost_charge(right):
-    def wrong(self, flight, endpoint, fault, now):
+def retries_a_lost_charge(original):
+    def mutant(self, flight, endpoint, fault, now):
         flight.may_have_run = False
-        right(self, flight, endpoint, entry.Fault.NOT_SENT, now)
+        original(self, flight, endpoint, entry.Fault.NOT_SENT, now)
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, attempts, "may_have_run")
@@ -85,32 +86,32 @@
 
 @defect(REQUEST, stream.AnswerStream, "add")
 def takes_repeated_chunks(_):
-    def wrong(self, attempt, chunk):
+    def mutant(self, attempt, chunk):
         self.next_offset = chunk.offset + chunk.tokens
         self.complete = self.complete or chunk.final
         return [chunk]
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, stream.AnswerStream, "release")
 def skips_gaps_in_an_answer(_):
-    def wrong(self):
+    def mutant(self):
         ready = [self.held.pop(k) for k in sorted(self.held)]
         for chunk in ready:
             self.next_offset = chunk.offset + chunk.tokens
             self.complete = self.complete or chunk.final
         return ready
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, flights.FlightTable, "arm")
 def forgets_timers(_):
-    def wrong(self, flight, at):
+    def mutant(self, flight, at):
         flight.timer_at = min(at, flight.request.deadline_at)
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, releases.Releaser, "due")
@@ -125,20 +126,20 @@
 
 @defect(REQUEST, Attempts, "free_parts")
 def leaks_memory_of_failed_attempts(_):
-    def wrong(self, flight, now, freed):
+    def mutant(self, flight, now, freed):
         flight.parts = ()
         self.core.dispatcher.release_group(flight)
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, dispatcher.Dispatcher, "release_group")
 def never_releases_groups(_):
-    def wrong(self, flight):
+    def mutant(self, flight):
         flight.group = ""
         flight.group_engines = {}
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, freshness.Freshness, "is_current")
@@ -147,11 +148,11 @@
 
 
 @defect(REQUEST, freshness.Freshness, "confirm")
-def counts_freshness_from_the_answer(right):
-    def wrong(self, asked_at):
-        right(self, asked_at + 2.0)
+def counts_freshness_from_the_answer(original):
+    def mutant(self, asked_at):
+        original(self, asked_at + 2.0)
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, claiming, "begin")
@@ -161,45 +162,45 @@
 
 @defect(REQUEST, claims.ClaimTable, "settle")
 def forgets_settled_claims(_):
-    def wrong(self, command):
+    def mutant(self, command):
         self.claims.pop((command.workspace, command.key), None)
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, claims.ClaimTable, "take")
-def gives_back_claims_of_silent_holders(right):
-    def wrong(self, command, retention_s, now):
+def gives_back_claims_of_silent_holders(original):
+    def mutant(self, command, retention_s, now):
         key = (command.workspace, command.key)
         claim = self.claims.get(key)
         if claim and claim.answer is None and now >= claim.until:
             del self.claims[key]
-        return right(self, command, retention_s, now)
+        return original(self, command, retention_s, now)
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, claims.ClaimTable, "take")
-def ignores_the_body_of_a_resend(right):
-    def wrong(self, command, retention_s, now):
+def ignores_the_body_of_a_resend(original):
+    def mutant(self, command, retention_s, now):
         claim = self.claims.get((command.workspace, command.key))
         if claim is not None:
             command = attrs.evolve(command, body_hash=claim.body_hash)
-        return right(self, command, retention_s, now)
+        return original(self, command, retention_s, now)
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, Entry, "on_caller_gone")
 def drops_charges_of_gone_callers(_):
-    def wrong(self, request_id, now):
+    def mutant(self, request_id, now):
         flight = self.flights.get(request_id)
         if flight is not None:
             flight.may_have_run = False
             self.attempts.fail(flight, attempts.caller_gone(), now)
         return self.flush()
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, endpoints.EndpointView, "accepts")
@@ -218,31 +219,31 @@
 
 
 @defect(REQUEST, limits.LimitTable, "apply")
-def counts_leases_from_the_answer(right):
-    def wrong(self, shares_, asked_at, now):
-        right(self, shares_, now + 2.0, now)
+def counts_leases_from_the_answer(original):
+    def mutant(self, shares_, asked_at, now):
+        original(self, shares_, now + 2.0, now)
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, configstore, "apply_update")
 def applies_patches_to_any_version(_):
-    def wrong(version, document, update):
+    def mutant(version, document, update):
         if update.document:
             return update.version, configstore.read_json(update.document)
         return update.base_version, document
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, Attempts, "end")
 def forgets_to_free_limits(_):
-    def wrong(self, flight, used, now):
+    def mutant(self, flight, used, now):
         core = self.core
         core.dispatcher.queue(flight.request.service).remove(flight.request)
         core.flights.remove(flight)
 
-    return wrong
+    return mutant
 
 
 @defect(REQUEST, groups.GroupLedger, "expire")
@@ -256,64 +257,64 @@
 
 
 @defect(CONTROL, node.ControlNode, "persist")
-def votes_and_terms_not_stored(right):
-    def wrong(self, ready):
+def votes_and_terms_not_stored(original):
+    def mutant(self, ready):
         ready.hard_state = None
-        return right(self, ready)
+        return original(self, ready)
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, node.ControlNode, "persist")
-def entries_not_stored(right):
-    def wrong(self, ready):
+def entries_not_stored(original):
+    def mutant(self, ready):
         stored = ready_lib.Ready(
             snapshot=ready.snapshot,
             snapshot_data=ready.snapshot_data,
             hard_state=ready.hard_state,
         )
-        return right(self, stored)
+        return original(self, stored)
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, node.ControlNode, "persist")
-def truncation_not_stored(right):
-    def wrong(self, ready):
+def truncation_not_stored(original):
+    def mutant(self, ready):
         ready.truncate_from = 0
-        return right(self, ready)
+        return original(self, ready)
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, Raft, "advance_commit")
 def commits_entries_of_old_terms(_):
-    def wrong(self, now):
+    def mutant(self, now):
         matches = {i: float(p.match) for i, p in self.progress.items()}
         reached = self.replica_set.quorum_value(matches)
         if reached > self.commit:
             self.commit = int(reached)
             self.after_commit(now)
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, replicas, "is_majority")
 def half_is_a_majority(_):
-    def wrong(voters, identities):
+    def mutant(voters, identities):
         count = sum(1 for r in voters if r.identity in identities)
         return count >= len(voters) // 2
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, replicas, "majority_value")
 def commits_on_the_fastest_replica(_):
-    def wrong(voters, values):
+    def mutant(voters, values):
         found = [values.get(r.identity, float("-inf")) for r in voters]
         return max(found, default=float("-inf"))
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, Raft, "has_lease")
@@ -327,26 +328,26 @@
 
 
 @defect(CONTROL, Raft, "on_vote_request")
-def votes_for_shorter_logs(right):
-    def wrong(self, message, now):
+def votes_for_shorter_logs(original):
+    def mutant(self, message, now):
         ahead = attrs.evolve(message, last_term=1 << 30)
-        right(self, ahead, now)
+        original(self, ahead, now)
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, Raft, "on_vote_request")
-def votes_twice_in_a_term(right):
-    def wrong(self, message, now):
+def votes_twice_in_a_term(original):
+    def mutant(self, message, now):
         self.hard_state = attrs.evolve(self.hard_state, vote="")
-        right(self, message, now)
+        original(self, message, now)
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, Raft, "on_append")
 def takes_entries_without_checking_what_precedes(_):
-    def wrong(self, message, now):
+    def mutant(self, message, now):
         if message.term < self.term:
             return
         self.follow(message.sender, now)
@@ -358,12 +359,12 @@
         self.commit = max(self.commit, min(message.commit, match))
         self.reply_append(message, True, match)
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, Raft, "become_follower")
 def keeps_its_vote_into_a_new_term(_):
-    def wrong(self, term, leader, now):
+    def mutant(self, term, leader, now):
         if term > self.term:
             vote = self.hard_state.vote
             self.set_hard_state(ready_lib.HardState(term=term, vote=vote))
@@ -371,48 +372,48 @@
         self.leader = leader
         self.progress = {}
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, Raft, "check_quorum")
 def leads_on_without_a_quorum(_):
-    def wrong(self, now):
+    def mutant(self, now):
         for found in self.progress.values():
             found.acked_at = now
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, Raft, "flush_appends")
 def spins_on_replicas_behind_the_snapshot(_):
-    def wrong(self, now):
+    def mutant(self, now):
         if self.is_leader:
             for identity in self.others():
                 progress = self.progress[identity]
                 if progress.next_index <= self.log.last_index:
                     self.send_append(identity, now)
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, Raft, "install")
-def snapshot_leaves_the_commit_behind(right):
-    def wrong(self, meta, data):
+def snapshot_leaves_the_commit_behind(original):
+    def mutant(self, meta, data):
         commit = self.commit
-        right(self, meta, data)
+        original(self, meta, data)
         self.commit = self.applied = commit
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, controlmachine.Cluster, "identity")
 def empty_disk_under_its_old_name(_):
-    def wrong(self, replica):
+    def mutant(self, replica):
         return replicas.Replica(
             name=replica.name, disk="disk", address=replica.name
         )
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, Raft, "may_vote")
@@ -421,8 +422,8 @@
 
 
 @defect(CONTROL, Raft, "change_replicas")
-def changes_voters_in_one_step(right):
-    def wrong(self, wanted, now):
+def changes_voters_in_one_step(original):
+    def mutant(self, wanted, now):
         single = attrs.evolve(wanted, old_voters=())
         busy = self.replica_set_index() > self.commit
         if not self.is_leader or busy or not self.may_vote(wanted):
@@ -438,7 +439,7 @@
         )
         return True
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, claims.ClaimTable, "forget")
@@ -448,10 +449,10 @@
 
 @defect(CONTROL, claims.ClaimTable, "take")
 def grants_a_claim_to_anybody(_):
-    def wrong(self, command, retention_s, now):
+    def mutant(self, command, retention_s, now):
         return messages.ClaimAnswer(status=messages.ClaimStatus.GRANTED)
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, fences, "LEASE_MARGIN_S")
@@ -465,12 +466,12 @@
 
 
 @defect(CONTROL, configstore.ConfigStore, "apply")
-def merges_stale_patches(right):
-    def wrong(self, command):
+def merges_stale_patches(original):
+    def mutant(self, command):
         current = attrs.evolve(command, base_version=self.version)
-        return right(self, current)
+        return original(self, current)
 
-    return wrong
+    return mutant
 
 
 @defect(CONTROL, configstore.ConfigStore, "patch")
@@ -479,16 +480,16 @@
 
 
 @defect(CONTROL, node.ControlNode, "apply")
-def answers_before_it_is_applied(right):
-    def wrong(self, item):
+def answers_before_it_is_applied(original):
+    def mutant(self, item):
         if item.kind is raft.log_lib.EntryKind.COMMAND:
             self.state.configs.version += 1
-        right(self, item)
+        original(self, item)
 
-    return wrong
+    return mutant
 
 
-# --- replicas that come and go -----------------------------------------------
+# --- replacement of replicas -----------------------------------------------
 
 Membership = membership.Membership
 
@@ -499,12 +500,12 @@
 
 
 @defect(REPLACING, Membership, "can_spare")
-def takes_out_silent_voters_late(right):
-    def wrong(self, identity, current, silences):
+def takes_out_silent_voters_late(original):
+    def mutant(self, identity, current, silences):
         late = silences.get(identity, 0.0) >= membership.RETIRE_S
-        return late and right(self, identity, current, silences)
+        return late and original(self, identity, current, silences)
 
-    return wrong
+    return mutant
 
 
 @defect(REPLACING, membership, "REJOIN_AFTER_S")
@@ -513,13 +514,13 @@
 
 
 @defect(REPLACING, membership, "wanted_set")
-def removed_voters_still_count(right):
-    def wrong(current, message):
+def removed_voters_still_count(original):
+    def mutant(current, message):
         if message.action is messages.ReplicaAction.REMOVE:
             return Ok(current)
-        return right(current, message)
+        return original(current, message)
 
-    return wrong
+    return mutant
 
 
 @defect(REPLACING, Membership, "to_promote")
@@ -527,37 +528,37 @@
     return lambda self, current, silences, caught_up: None
 
 
-# --- repair of logs, and what a replica knows of others ---------------------
+# --- log repair, and a replica's view of its peers ---------------------
 
 Progress = progress.Progress
 
 
 @defect(REPAIRING, Progress, "room")
 def sends_entries_while_it_probes(_):
-    def wrong(self):
+    def mutant(self):
         under_way = sum(batch.size for batch in self.batches)
         most = progress.WINDOW_BYTES - under_way
         return max(0, min(progress.MESSAGE_BYTES, most))
 
-    return property(wrong)
+    return property(mutant)
 
 
 @defect(REPAIRING, Progress, "note_rejected")
-def acts_on_every_rejection(right):
-    def wrong(self, prev_index, common_index):
-        right(self, prev_index, common_index)
+def acts_on_every_rejection(original):
+    def mutant(self, prev_index, common_index):
+        original(self, prev_index, common_index)
         return True
 
-    return wrong
+    return mutant
 
 
 @defect(REPAIRING, Progress, "note_match")
-def never_leaves_the_search(right):
-    def wrong(self, match, now):
-        right(self, match, now)
+def never_leaves_the_search(original):
+    def mutant(self, match, now):
+        original(self, match, now)
         self.state = progress.State.PROBE
 
-    return wrong
+    return mutant
 
 
 @defect(REPAIRING, node, "FULL_DISK_RETRY_S")
@@ -567,7 +568,7 @@
 
 @defect(REPAIRING, voterwatch.VoterWatch, "silences")
 def a_learner_is_silent_since_the_election(_):
-    def wrong(self, now):
+    def mutant(self, now):
         since = max(self.raft.led_since, self.since)
         return {
             identity: now - max(found.acked_at, since)
@@ -575,7 +576,7 @@
             if identity != self.raft.identity
         }
 
-    return wrong
+    return mutant
 
 
 @defect(REPAIRING, voterwatch.VoterWatch, "lags")
@@ -584,10 +585,10 @@
 
 
 @defect(REPAIRING, Raft, "step")
-def a_refused_pre_vote_teaches_no_term(right):
-    def wrong(self, message, now):
+def a_refused_pre_vote_teaches_no_term(original):
+    def mutant(self, message, now):
         if getattr(message, "pre", False) and hasattr(message, "granted"):
             message = attrs.evolve(message, term=min(message.term, self.term))
-        right(self, message, now)
+        original(self, message, now)
 
-    return wrong
+    return mutant
--- a/features/support/parallel.py
+++ b/features/support/parallel.py
@@ -1,7 +1,7 @@
 """Runs all features in several processes, the longest first.
 
-Each process writes a JUnit report of its own; `.ci/verdict.py` reads all of
-them. A process that ends without a whole report counts as a failed scenario.
+Each process writes its own JUnit report; `.ci/verdict.py` reads all reports. A
+process that exits without a complete report counts as a failed scenario.
 """
 
 import argparse
@@ -22,18 +22,19 @@
 ROOT = pathlib.Path(__file__).parents[2]
 FEATURES = ROOT / "features"
 REPORTS = ROOT / "build" / "junit"
-# Seconds that scenarios took, by name, from `--record`; a plan needs little more
-# than their order. Those that are not named are short.
+# Durations of scenarios in seconds by name, written by `--record`. Only their
+# order matters much; scenarios without a duration are short.
 DURATIONS = FEATURES / "durations.json"
-RECORDED_FROM_S = 0.3
-SHORT_S = 0.1
-# A process takes about a second to start, so short scenarios share one.
-SHARED_S = 6.0
+MIN_RECORDED_S = 0.3
+DEFAULT_DURATION_S = 0.1
+# A process takes about a second to start, so short scenarios share one until
+# their durations add up to this.
+MIN_UNIT_S = 6.0
 
 
 @attrs.frozen
 class Scenario:
-    """A scenario, a row of a table apart, and about how long it takes."""
+    """A scenario, or one row of an outline, and its expected duration."""
 
     target: str
     name: str
@@ -45,8 +46,8 @@
     """Scenarios that one process runs.
 
     Attributes:
-        targets: What behave is told: scenarios by their lines.
-        seconds: About how long it takes.
+        targets: Arguments of behave: `file:line` of each scenario.
+        seconds: Expected duration.
     """
 
     targets: tuple[str, ...]
@@ -54,13 +55,13 @@
 
     @property
     def scenarios(self) -> int:
-        """Return how many scenarios it names."""
+        """Return the number of scenarios."""
         return len(self.targets)
 
 
 @attrs.frozen
 class Outcome:
-    """How the process of a unit ended."""
+    """How the process of a unit exited, and what it reported."""
 
     unit: Unit
     status: int
@@ -69,8 +70,8 @@
     failed: int
 
     @property
-    def is_whole(self) -> bool:
-        """Return whether the report holds every scenario, and why it failed."""
+    def is_complete(self) -> bool:
+        """Return whether the report covers all scenarios and any failure."""
         explained = self.status == 0 or self.failed > 0
         return explained and self.reported == self.unit.scenarios
 
@@ -78,41 +79,41 @@
 def scenarios_of(
     path: pathlib.Path, durations: dict[str, float]
 ) -> list[Scenario]:
-    """Return all scenarios of a feature, in their order."""
+    """Return all scenarios of a feature in file order."""
     feature = behave_parser.parse_file(str(path))
     name = path.relative_to(ROOT)
     return [
         Scenario(
             target=f"{name}:{scenario.line}",
             name=scenario.name.strip(),
-            seconds=durations.get(scenario.name.strip(), SHORT_S),
+            seconds=durations.get(scenario.name.strip(), DEFAULT_DURATION_S),
         )
         for scenario in feature.walk_scenarios()
     ]
 
 
-def plan(
+def plan_units(
     paths: Iterable[pathlib.Path], durations: dict[str, float]
 ) -> list[Unit]:
-    """Return what to run, the longest first."""
+    """Return the units to run, the longest first."""
     units = []
     shared: list[Scenario] = []
     for path in sorted(paths):
         for scenario in scenarios_of(path, durations):
-            if scenario.seconds >= SHARED_S:
-                units.append(unit_of([scenario]))
+            if scenario.seconds >= MIN_UNIT_S:
+                units.append(make_unit([scenario]))
                 continue
             shared.append(scenario)
-            if sum(one.seconds for one in shared) >= SHARED_S:
-                units.append(unit_of(shared))
+            if sum(scenario.seconds for scenario in shared) >= MIN_UNIT_S:
+                units.append(make_unit(shared))
                 shared = []
     if shared:
-        units.append(unit_of(shared))
+        units.append(make_unit(shared))
     return sorted(units, key=lambda unit: (-unit.seconds, unit.targets))
 
 
-def unit_of(scenarios: list[Scenario]) -> Unit:
-    """Return what runs some scenarios in one process."""
+def make_unit(scenarios: list[Scenario]) -> Unit:
+    """Return a unit that runs the scenarios in one process."""
     return Unit(
         targets=tuple(scenario.target for scenario in scenarios),
         seconds=round(sum(scenario.seconds for scenario in scenarios), 1),
@@ -120,10 +121,10 @@
 
 
 def run_unit(unit: Unit, folder: pathlib.Path) -> Outcome:
-    """Run a unit in a process of its own."""
+    """Run a unit in its own process."""
     command = [sys.executable, "-m", "behave", "--format", "progress"]
     command += ["--no-skipped", "--junit", "--junit-directory", str(folder)]
-    ended = subprocess.run(
+    process = subprocess.run(
         [*command, *unit.targets],
         cwd=ROOT,
         stdout=subprocess.PIPE,
@@ -135,18 +136,18 @@
     cases = read_cases(folder)
     outcome = Outcome(
         unit=unit,
-        status=ended.returncode,
-        output=ended.stdout,
+        status=process.returncode,
+        output=process.stdout,
         reported=len(cases),
         failed=sum(is_failed(case) for case in cases),
     )
-    if not outcome.is_whole:
-        write_crash(folder, outcome)
+    if not outcome.is_complete:
+        write_incomplete_report(folder, outcome)
     return outcome
 
 
 def read_cases(folder: pathlib.Path) -> list[ElementTree.Element]:
-    """Return the scenarios that a report says were run."""
+    """Return the test cases of all reports in a folder that were run."""
     return [
         case
         for path in sorted(folder.glob("*.xml"))
@@ -156,16 +157,16 @@
 
 
 def is_failed(case: ElementTree.Element) -> bool:
-    """Return whether a scenario of a report failed."""
+    """Return whether a test case failed."""
     return case.find("failure") is not None or case.find("error") is not None
 
 
-def write_crash(folder: pathlib.Path, outcome: Outcome) -> None:
-    """Report a unit whose own report is not whole."""
+def write_incomplete_report(folder: pathlib.Path, outcome: Outcome) -> None:
+    """Write a failed test case for a unit with an incomplete report."""
     folder.mkdir(parents=True, exist_ok=True)
     suite = ElementTree.Element("testsuite")
     first = outcome.unit.targets[0]
-    name = f"{first} and those with it ended with {outcome.status}"
+    name = f"the process of {first} exited with {outcome.status}"
     case = ElementTree.SubElement(suite, "testcase", name=name)
     text = f"{outcome.reported} of {outcome.unit.scenarios} scenarios reported"
     ElementTree.SubElement(case, "error", message=text)
@@ -173,24 +174,24 @@
 
 
 def run_all(units: list[Unit], jobs: int) -> list[Outcome]:
-    """Run units, some at a time; return how they ended, in their order."""
+    """Run the units, `jobs` at a time; return their outcomes in order."""
     shutil.rmtree(REPORTS, ignore_errors=True)
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
         running = [
-            pool.submit(run_unit, unit, REPORTS / f"{place:03}")
-            for place, unit in enumerate(units)
+            pool.submit(run_unit, unit, REPORTS / f"{index:03}")
+            for index, unit in enumerate(units)
         ]
         return [future.result() for future in running]
 
 
 def record(count: int) -> None:
-    """Write how long scenarios took, as the reports of `count` units say."""
+    """Write the durations in the reports of the first `count` units."""
     durations: dict[str, float] = {}
-    for place in range(count):
-        for case in read_cases(REPORTS / f"{place:03}"):
+    for index in range(count):
+        for case in read_cases(REPORTS / f"{index:03}"):
             seconds = round(float(case.get("time", 0.0)), 1)
             name = case.get("name", "").strip()
-            if seconds >= RECORDED_FROM_S:
+            if seconds >= MIN_RECORDED_S:
                 durations[name] = max(seconds, durations.get(name, 0.0))
     text = json.dumps(durations, indent=1, sort_keys=True, ensure_ascii=False)
     DURATIONS.write_text(text + "\n")
@@ -198,25 +199,25 @@
 
 def main() -> int:
     """Run the features; return the exit code."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
-    options.add_argument("--record", action="store_true")
-    chosen = options.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
+    parser.add_argument("--record", action="store_true")
+    arguments = parser.parse_args()
     durations = {}
     if DURATIONS.exists():
         durations = json.loads(DURATIONS.read_text())
-    units = plan(FEATURES.rglob("*.feature"), durations)
-    began = time.monotonic()
-    outcomes = run_all(units, chosen.jobs)
-    if chosen.record:
+    units = plan_units(FEATURES.rglob("*.feature"), durations)
+    started_at = time.monotonic()
+    outcomes = run_all(units, arguments.jobs)
+    if arguments.record:
         record(len(outcomes))
-    bad = [o for o in outcomes if o.status or not o.is_whole]
-    for outcome in bad:
+    failures = [o for o in outcomes if o.status or not o.is_complete]
+    for outcome in failures:
         print(f"--- {' '.join(outcome.unit.targets)}\n{outcome.output}")
     count = sum(outcome.reported for outcome in outcomes)
-    took_s = time.monotonic() - began
+    took_s = time.monotonic() - started_at
     print(f"{count} scenarios in {len(units)} processes, {took_s:.0f} s")
-    return 1 if bad else 0
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/features/support/retrydefects.py
+++ b/features/support/retrydefects.py
@@ -11,92 +11,92 @@
 
 
 @mutants.defect(DEFECTS, Share, "update")
-def spends_are_forgotten_by_a_restart(right):
-    def wrong(self, share, now, proved_at):
+def spends_are_forgotten_by_a_restart(original):
+    def mutant(self, share, now, proved_at):
         is_first = self.proved_at == float("-inf")
-        right(self, share, now, proved_at)
+        original(self, share, now, proved_at)
         if is_first:
             self.held.popleft()
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, Share, "least")
-def share_of_the_newest_members(right):
-    def wrong(self, now):
-        right(self, now)
+def share_of_the_newest_members(original):
+    def mutant(self, now):
+        original(self, now)
         return self.held[-1].share
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, Share, "update")
-def a_share_outlives_its_proof(right):
-    def wrong(self, share, now, proved_at):
+def a_share_outlives_its_proof(original):
+    def mutant(self, share, now, proved_at):
         self.proved_at = now
-        right(self, share, now, proved_at)
+        original(self, share, now, proved_at)
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, Share, "replace")
-def a_share_lasts_for_half_of_the_span(right):
-    def wrong(self, share, at):
-        right(self, share, at - self.span_s / 2)
+def a_share_lasts_for_half_of_the_span(original):
+    def mutant(self, share, at):
+        original(self, share, at - self.span_s / 2)
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, windowbudget, "RATIO_PART")
-def each_window_earns_the_whole_ratio(right):
-    return 2 * right
+def each_window_earns_the_whole_ratio(original):
+    return 2 * original
 
 
 @mutants.defect(DEFECTS, windowbudget.WindowBudget, "trim")
-def retries_leave_the_window_early(right):
-    def wrong(self, now):
-        right(self, now + self.window_s / 2)
+def retries_leave_the_window_early(original):
+    def mutant(self, now):
+        original(self, now + self.window_s / 2)
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, windowbudget.WindowBudget, "charge")
-def reserved_retries_are_sent_whenever(right):
-    def wrong(self, retry, floor_share, now):
-        return right(self, retry, floor_share, now) or True
+def reserved_retries_are_sent_whenever(original):
+    def mutant(self, retry, floor_share, now):
+        return original(self, retry, floor_share, now) or True
 
-    return wrong
+    return mutant
 
 
 Lender = retrylending.RetryLender
 
 
 @mutants.defect(DEFECTS, Lender, "lend")
-def a_new_leader_lends_at_once(right):
-    def wrong(self, request, now):
+def a_new_leader_lends_at_once(original):
+    def mutant(self, request, now):
         self.started_at = float("-inf")
-        return right(self, request, now)
+        return original(self, request, now)
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, retrylending, "hold_time_s")
-def a_loan_counts_for_its_own_time_only(right):
-    def wrong(window_s):
-        return right(window_s) - window_s
+def a_loan_counts_for_its_own_time_only(original):
+    def mutant(window_s):
+        return original(window_s) - window_s
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, retryloans.RetryLoans, "add")
-def loans_never_end(right):
-    def wrong(self, amount, until):
-        right(self, amount, until + 60.0)
+def loans_never_end(original):
+    def mutant(self, amount, until):
+        original(self, amount, until + 60.0)
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, retrylending, "LOAN_PART")
-def all_of_the_slack_is_lent_as_well(right):
-    del right
+def all_of_the_slack_is_lent_as_well(original):
+    del original
     return 1.0
--- a/features/verdict.feature
+++ b/features/verdict.feature
@@ -1,4 +1,4 @@
-Feature: The verdict of CI passes over listed failures and nothing else
+Feature: The verdict of CI ignores listed failures only
 
   Scenario Outline: Report of <report>, list of <known>, linter <lint>
     When the verdict is given on scenarios <report> with known <known>, <tests> and linter <lint>
@@ -16,16 +16,16 @@
       | pass          | none  | 2     | 0    | 1 passed, 0 failed | 1    |
       | nothing       | none  | 0     | 0    | wrote no report    | 1    |
 
-  # Guards against a failure in CI of which nothing is left but its name.
+  # Guards against a failure in CI that is reported without its reason.
   Scenario: The reason of a failure is printed
     When the verdict is given on scenarios pass fail with known none, 2 and linter 0
-    Then it prints "failed: fail: the promise that was broken"
+    Then it prints "failed: fail: the guarantee that was violated"
 
-  Scenario: Two scenarios of one name count as two
+  Scenario: Two scenarios with the same name count as two
     When the verdict is given on scenarios fail fail with known none, 2 and linter 0
     Then it ends with "0 passed, 2 failed" and exit code 1
 
-  # Guards against a second entry of a test that hides the first.
+  # Guards against a second entry of a test that overrides the first.
   Scenario: A test that is listed for two faults is printed with both
     When the verdict is given on scenarios pass fail with known fail, listed for "one fault" and "another fault"
     Then it prints "known to fail: fail: one fault; another fault"
