--- a/features/chaos.feature
+++ b/features/chaos.feature
@@ -1,8 +1,8 @@
-Feature: Real processes are killed and frozen under load, every answer audited
+Feature: Real processes are killed and frozen under load, all responses checked
 
   Scenario: Each role is killed or frozen in turn
     Given a running fleet of 3 replicas, 3 entries and 3 engines
-    And callers that ask and charge without pause
+    And callers that send completions and charges continuously
     When "entry-1" is killed and started again
     And the leader is killed and started again
     And an operator changes the configuration
@@ -11,14 +11,14 @@
     And an operator changes the configuration
     And version 3 comes into force at every entry
     And the callers stop
-    Then no charge ran twice and no answer of "not run" was false
-    And every whole answer is the caller's own
-    And no entry's version ever went back
-    And at least 50 answers were whole and 10 charges ran
+    Then no charge ran twice and no "not run" response was false
+    And every complete response is the caller's own
+    And no entry's version went back
+    And at least 50 responses were complete and 10 charges ran
 
-  # Guards against a step that takes an election for the loss of all leaders.
-  Scenario Outline: A leader that leads from <after> s on is waited for
-    When the leader is looked for while one leads from <after> s on
+  # Guards against a step that reports an election in progress as a lost leader.
+  Scenario Outline: The lookup waits for a leader that leads from <after> s on
+    When the leader is looked up while one leads from <after> s on
     Then <words> is found
 
     Examples:
--- a/features/steps/chaos_steps.py
+++ b/features/steps/chaos_steps.py
@@ -1,4 +1,4 @@
-"""Steps that hurt a running fleet while callers use it."""
+"""Steps that kill and freeze processes of a fleet under load."""
 
 import json
 import random
@@ -16,15 +16,15 @@
 from _coltsfootroad.fakes import fleet as fleet_lib
 
 CALLERS = 4
-TRIES = 4
-PAUSE_S = 0.05
-SETTLE_S = 2.0
-# A leader that is lost has a successor within this time.
-LEADER_WITHIN_S = 2.0
+MAX_ATTEMPTS = 4
+REQUEST_INTERVAL_S = 0.05
+RECOVERY_S = 2.0
+# A lost leader has a successor within this time.
+LEADER_TIMEOUT_S = 2.0
 
 
 class Load:
-    """Callers that go on until told to stop, and what they were told."""
+    """Callers that run until `stop`, and the responses that they got."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -36,61 +36,61 @@
             threading.Thread(target=self.call, args=(number,))
             for number in range(CALLERS)
         ]
-        self.threads.append(threading.Thread(target=self.watch))
+        self.threads.append(threading.Thread(target=self.record_versions))
         for thread in self.threads:
             thread.start()
 
-    def own_fleet(self):
-        """Return a client of the fleet for one thread."""
+    def create_client(self):
+        """Return a client of the fleet for use by one thread."""
         return fleet_lib.Fleet(self.fleet.folder, listen=self.fleet.listen)
 
     def call(self, number):
-        """Ask and charge in turn."""
+        """Send completions and charges in turn."""
         rng = random.Random(number)
-        own = self.own_fleet()
+        client = self.create_client()
         count = 0
         while not self.stopping.is_set():
             count += 1
             tokens = rng.randint(1, 12)
             entry = f"entry-{rng.randrange(3)}"
-            response = own.complete(entry, f"question {count}", tokens)
+            response = client.complete(entry, f"question {count}", tokens)
             self.completions.append((tokens, response))
-            self.charge(own, rng, f"{int(time.time())}-{number}-{count}")
-            time.sleep(PAUSE_S)
+            self.charge(client, rng, f"{int(time.time())}-{number}-{count}")
+            time.sleep(REQUEST_INTERVAL_S)
 
-    def charge(self, own, rng, key):
-        """Charge, resending through other entries until it is told."""
-        answers = []
-        for _ in range(TRIES):
+    def charge(self, client, rng, key):
+        """Send a charge, and resend it through other entries until it succeeds."""
+        responses = []
+        for _ in range(MAX_ATTEMPTS):
             entry = f"entry-{rng.randrange(3)}"
-            response = own.charge(entry, key, key)
-            answers.append(response)
+            response = client.charge(entry, key, key)
+            responses.append(response)
             if response is not None and response.code == 200:
                 break
-            time.sleep(PAUSE_S)
-        self.charges.append((key, answers))
+            time.sleep(REQUEST_INTERVAL_S)
+        self.charges.append((key, responses))
 
-    def watch(self):
-        """Note the versions that entries have in force."""
-        own = self.own_fleet()
+    def record_versions(self):
+        """Record the versions that entries have in force."""
+        client = self.create_client()
         while not self.stopping.is_set():
             for number in range(3):
                 name = f"entry-{number}"
-                url = f"http://{own.listen[name]}/health"
-                response = own.fetch(url)
+                url = f"http://{client.listen[name]}/health"
+                response = client.fetch(url)
                 if response is not None and response.code == 200:
                     version = json.loads(response.body)["version"]
                     self.versions.append((name, version))
-            time.sleep(PAUSE_S)
+            time.sleep(REQUEST_INTERVAL_S)
 
     def stop(self):
-        """Let every caller finish what it is doing."""
+        """Stop the callers after their current requests."""
         self.stopping.set()
         for thread in self.threads:
             thread.join()
 
 
-@given("callers that ask and charge without pause")
+@given("callers that send completions and charges continuously")
 def start_load(context):
     context.load = Load(context.fleet)
     context.patches = 1
@@ -98,45 +98,45 @@
 
 @when('"{name}" is killed and started again')
 def kill_and_start(context, name):
-    time.sleep(SETTLE_S)
+    time.sleep(RECOVERY_S)
     program = context.fleet.programs[name]
     program.kill()
-    time.sleep(SETTLE_S)
+    time.sleep(RECOVERY_S)
     program.start()
-    time.sleep(SETTLE_S)
+    time.sleep(RECOVERY_S)
 
 
 def leader_of(fleet) -> str:
-    """Return the leading replica, waiting for an election that goes on.
+    """Return the leader, waiting for an election in progress.
 
-    Replicas are asked one after the other, so none may say that it leads while
-    leadership moves. Raises AssertionError with what each of them said.
+    Replicas are queried one after the other, so that none may report to lead
+    while leadership moves. Raises AssertionError with the replicas' responses.
     """
-    began = time.monotonic()
-    end = None
+    started_at = time.monotonic()
+    deadline = None
     while True:
-        leader, looks = look_for_leader(fleet, began)
+        leader, responses = query_replicas(fleet, started_at)
         if leader:
             return leader
-        end = end or time.monotonic() + LEADER_WITHIN_S
-        if time.monotonic() > end:
-            raise AssertionError(f"no replica leads: {looks}")
-        time.sleep(PAUSE_S)
+        deadline = deadline or time.monotonic() + LEADER_TIMEOUT_S
+        if time.monotonic() > deadline:
+            raise AssertionError(f"no replica leads: {responses}")
+        time.sleep(REQUEST_INTERVAL_S)
 
 
-def look_for_leader(fleet, began: float) -> tuple[str, list[str]]:
-    """Return who says that it leads, or what each replica said instead."""
-    looks = []
+def query_replicas(fleet, started_at: float) -> tuple[str, list[str]]:
+    """Return the reported leader, or an empty name and all responses."""
+    responses = []
     for number in range(fleet.replicas):
         name = f"control-{number}"
-        asked_s = time.monotonic() - began
+        sent_s = time.monotonic() - started_at
         response = fleet.admin_fetch(name, "/v1/status")
         if response is not None and response.code == 200:
             return json.loads(response.body)["leader"].partition("#")[0], []
-        said = "no answer" if response is None else response.body.decode()
-        took_s = time.monotonic() - began - asked_s
-        looks.append(f"{name} at {asked_s:.3f} s in {took_s:.3f} s: {said}")
-    return "", looks
+        reply = "no response" if response is None else response.body.decode()
+        took_s = time.monotonic() - started_at - sent_s
+        responses.append(f"{name} at {sent_s:.3f} s in {took_s:.3f} s: {reply}")
+    return "", responses
 
 
 @when("the leader is killed and started again")
@@ -163,7 +163,7 @@
     program.signal(signal.SIGSTOP)
     time.sleep(seconds)
     program.signal(signal.SIGCONT)
-    time.sleep(SETTLE_S)
+    time.sleep(RECOVERY_S)
 
 
 @when("the callers stop")
@@ -180,36 +180,36 @@
 
 
 def ran_of(response):
-    """Return what a failed answer says of the work."""
+    """Return whether the work of a failed request ran, by the response."""
     if response is None or response.code == 599:
         return "unknown"
     return json.loads(response.body)["error"]["ran"]
 
 
-@then('no charge ran twice and no answer of "not run" was false')
+@then('no charge ran twice and no "not run" response was false')
 def check_charges(context):
-    for key, answers in context.load.charges:
+    for key, responses in context.load.charges:
         count = context.runs.get(key, 0)
         assert count <= 1, f"{key} ran {count} times"
-        whole = [a for a in answers if a is not None and a.code == 200]
-        assert not whole or count == 1, f"{key} was answered but did not run"
-        if not whole and all(ran_of(a) == "no" for a in answers):
-            assert count == 0, f"{key} ran although all said it did not"
+        complete = [a for a in responses if a is not None and a.code == 200]
+        assert not complete or count == 1, f"{key} was answered but did not run"
+        if not complete and all(ran_of(a) == "no" for a in responses):
+            assert count == 0, f"{key} ran although all responses said not run"
 
 
-@then("every whole answer is the caller's own")
+@then("every complete response is the caller's own")
 def check_answers(context):
     for tokens, response in context.load.completions:
         if response is None or response.code != 200:
             continue
         text = json.loads(response.body)["choices"][0]["text"]
         assert text.encode() == engine_lib.whole_text(tokens), text
-    for key, answers in context.load.charges:
-        if answers[-1] is not None and answers[-1].code == 200:
-            assert json.loads(answers[-1].body)["echo"] == key
+    for key, responses in context.load.charges:
+        if responses[-1] is not None and responses[-1].code == 200:
+            assert json.loads(responses[-1].body)["echo"] == key
 
 
-@then("no entry's version ever went back")
+@then("no entry's version went back")
 def check_versions(context):
     newest = {}
     for name, version in context.load.versions:
@@ -218,23 +218,23 @@
     assert max(newest.values()) == context.patches, newest
 
 
-@then("at least {whole:d} answers were whole and {ran:d} charges ran")
-def check_amounts(context, whole, ran):
+@then("at least {complete:d} responses were complete and {ran:d} charges ran")
+def check_amounts(context, complete, ran):
     answered = [r for _, r in context.load.completions if r and r.code == 200]
     print(f"{len(answered)} of {len(context.load.completions)} answered,")
     print(f"{sum(context.runs.values())} charges ran")
-    assert len(answered) >= whole and sum(context.runs.values()) >= ran
+    assert len(answered) >= complete and sum(context.runs.values()) >= ran
 
 
 @attrs.define
 class ElectingFleet:
-    """Replicas of which the last one leads from a time on, if at all."""
+    """A fleet whose last replica leads from `leads_at` on."""
 
     leads_at: float
     replicas: int = 3
 
     def admin_fetch(self, name, _path):
-        """Answer as a replica does that leads, or does not."""
+        """Return the response of a replica that leads, or of one that does not."""
         leads = time.monotonic() >= self.leads_at
         if leads and name == f"control-{self.replicas - 1}":
             leader = json.dumps({"leader": f"{name}#disk"}).encode()
@@ -242,8 +242,8 @@
         return mock.Mock(code=503, body=b"this replica does not lead")
 
 
-@when("the leader is looked for while one leads from {after:g} s on")
-def look_during_election(context, after):
+@when("the leader is looked up while one leads from {after:g} s on")
+def query_during_election(context, after):
     fleet = ElectingFleet(time.monotonic() + after)
     try:
         context.found = leader_of(fleet)
--- a/features/steps/whole_path_steps.py
+++ b/features/steps/whole_path_steps.py
@@ -1,4 +1,4 @@
-"""Steps that use a running fleet of processes."""
+"""Steps that use a fleet of separate processes."""
 
 import json
 import signal
@@ -22,26 +22,26 @@
     context.fleet.start(fleet_lib.default_config())
 
 
-@when('a caller asks "{entry}" which address to use')
-def ask_address(context, entry):
+@when('a caller requests the addresses from "{entry}"')
+def request_addresses(context, entry):
     url = f"http://{context.fleet.listen[entry]}/v1/addresses"
-    context.answer = json.loads(context.fleet.fetch(url).body)
+    context.addresses = json.loads(context.fleet.fetch(url).body)
 
 
-@then("{count:d} addresses are named, each an entry's")
+@then("{count:d} addresses are returned, each an entry's")
 def check_addresses(context, count):
-    named = set(context.answer["addresses"])
+    named = set(context.addresses["addresses"])
     entries = {a for n, a in context.fleet.listen.items() if "entry" in n}
-    assert len(named) == count and named <= entries, context.answer
+    assert len(named) == count and named <= entries, context.addresses
 
 
-@when('a caller asks "{entry}" for {tokens:d} tokens')
-def ask_tokens(context, entry, tokens):
+@when('a caller requests {tokens:d} tokens from "{entry}"')
+def request_tokens(context, entry, tokens):
     context.response = context.fleet.complete(entry, "a question", tokens)
 
 
-@then("the answer is whole with {tokens:d} tokens")
-def check_whole(context, tokens):
+@then("the response is complete with {tokens:d} tokens")
+def check_complete(context, tokens):
     assert context.response.code == 200, context.response.body
     text = json.loads(context.response.body)["choices"][0]["text"]
     assert text.encode() == engine_lib.whole_text(tokens), text
@@ -66,7 +66,7 @@
     assert outcome.returncode == 0, outcome.stdout
 
 
-@then('the answer is refused with "{code}" and ran "{ran}"')
+@then('the request is refused with "{code}" and ran "{ran}"')
 def check_refused(context, code, ran):
     error = json.loads(context.response.body)["error"]
     assert (error["code"], error["ran"]) == (code, ran), error
@@ -81,7 +81,7 @@
     ]
 
 
-@then("both answers are the same and say {runs:d} run")
+@then("both responses are the same and report {runs:d} run")
 def check_same(context, runs):
     first, second = context.responses
     assert first.code == second.code == 200, second.body
@@ -89,49 +89,53 @@
     assert json.loads(first.body)["runs"] == runs, first.body
 
 
-@when('the same key comes with another body through "{entry}"')
+@when('the same key is sent with another body through "{entry}"')
 def charge_other_body(context, entry):
     context.response = context.fleet.charge(entry, context.key, "amount=2")
 
 
 @when('"{entry}" gets SIGTERM while it serves a long prompt')
 def terminate_busy(context, entry):
-    answers = []
+    responses = []
     fleet = context.fleet
 
-    def ask():
-        # One HTTP client serves one thread.
-        own = fleet_lib.Fleet(fleet.folder, listen=fleet.listen)
+    def send_prompt():
+        # An HTTP client is not shared between threads.
+        client = fleet_lib.Fleet(fleet.folder, listen=fleet.listen)
         prompt = "season of logs " * 20_000
-        answers.append(own.complete(entry, prompt, 3))
+        responses.append(client.complete(entry, prompt, 3))
 
-    thread = threading.Thread(target=ask)
+    thread = threading.Thread(target=send_prompt)
     thread.start()
-    fleet.wait_for(lambda: flights(fleet, entry), "the prompt to be admitted")
+    fleet.wait_for(
+        lambda: requests_in_flight(fleet, entry), "the prompt to be admitted"
+    )
     fleet.programs[entry].signal(signal.SIGTERM)
     context.exit_code = fleet.programs[entry].process.wait(30)
     thread.join()
-    context.response = answers[0]
+    context.response = responses[0]
 
 
-def flights(fleet, entry):
+def requests_in_flight(fleet, entry):
     """Return the requests in flight at an entry."""
     return json.loads(fleet.admin_fetch(entry, "/admin/dump").body)["flights"]
 
 
-@then("the long prompt is answered whole and the exit code is 0")
+@then("the long prompt has a complete response and the exit code is 0")
 def check_drained(context):
     assert context.exit_code == 0
-    check_whole(context, 3)
+    check_complete(context, 3)
 
 
-@then('"{entry}" names only itself within seconds')
-def check_left(context, entry):
-    def only_itself():
-        ask_address(context, entry)
-        return context.answer["addresses"] == [context.fleet.listen[entry]]
+@then('"{entry}" returns only its own address within seconds')
+def check_sole_address(context, entry):
+    def returns_only_own_address():
+        request_addresses(context, entry)
+        return context.addresses["addresses"] == [context.fleet.listen[entry]]
 
-    context.fleet.wait_for(only_itself, "the drained entry to be left out")
+    context.fleet.wait_for(
+        returns_only_own_address, "the drained entry to be removed"
+    )
 
 
 @when('an operator drains "{entry}"')
@@ -140,8 +144,8 @@
     context.exit_code = outcome.returncode
 
 
-@then('"{entry}" ends by itself with exit code {code:d}')
-def ends_by_itself(context, entry, code):
+@then('"{entry}" exits with code {code:d}')
+def check_exit_code_of(context, entry, code):
     assert context.fleet.programs[entry].process.wait(30) == code
 
 
@@ -150,16 +154,16 @@
     context.outcome = context.fleet.ctl(*words.split())
 
 
-@then('the exit code is {code:d} and it says "{said}"')
-def check_said(context, code, said):
+@then('the exit code is {code:d} and stderr has "{text}"')
+def check_stderr(context, code, text):
     assert context.outcome.returncode == code, context.outcome
-    assert said in context.outcome.stderr, context.outcome.stderr
+    assert text in context.outcome.stderr, context.outcome.stderr
 
 
-@then('the exit code is {code:d} and it prints "{printed}"')
-def check_printed(context, code, printed):
+@then('the exit code is {code:d} and stdout has "{text}"')
+def check_stdout(context, code, text):
     assert context.outcome.returncode == code, context.outcome
-    assert printed in context.outcome.stdout, context.outcome.stdout
+    assert text in context.outcome.stdout, context.outcome.stdout
 
 
 @when("the leader is killed")
