--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,7 +1,7 @@
 Feature: Real programs keep their guarantees under injected external faults
 
   A seed draws the same faults in each run; `make soak` draws new seeds.
-  Unless it says otherwise, a seed listed here once failed for its cause.
+  Each seed below has failed once for the cause beside it, unless noted.
 
   Scenario Outline: Seed <seed>: <cause>
     When a soak of seed <seed> runs for <seconds> s
@@ -121,7 +121,7 @@
       | io       |
       | memory   |
 
-  Scenario Outline: The audit detects that <fault>
+  Scenario Outline: The audit's report when <fault>
     Given the observations of a soak without violations
     When they are changed so that <fault>
     Then only this is reported: <words>
--- a/features/soak/audit.py
+++ b/features/soak/audit.py
@@ -20,6 +20,7 @@
 # From the third crash until all gateways refuse the request, including the
 # loss of a leader.
 MAX_QUARANTINE_DELAY_S = 7.0
+# Later runs that the retries of one request may still cause.
 MAX_LATE_POISON_RUNS = 3
 QUARANTINED_CODE = b'"quarantined"'
 # Retry budget of all gateways together in any window.
--- a/features/soak/driver.py
+++ b/features/soak/driver.py
@@ -34,7 +34,7 @@
 # the next loss is delayed until they do.
 REPAIR_TIMEOUT_S = 10.0
 REPAIR_POLL_INTERVAL_S = 0.3
-# Generous: process start-up time depends on the machine.
+# The start-up time of processes depends on the machine.
 REPLICAS_START_TIMEOUT_S = 30.0
 
 
--- a/features/soak/endpoints.py
+++ b/features/soak/endpoints.py
@@ -198,7 +198,7 @@
             self.incarnation = int(time.time() * MS_PER_S)
         endpoint = SoakEndpoint(name, incarnation_id, self.observed, self.rng)
         endpoint.on_poison = self.crash_on_poison
-        # Faults injected until `start` returns affect the previous incarnation.
+        # Until the new endpoint has started, faults affect the previous one.
         await endpoint.start()
         self.endpoint = endpoint
         host, port = self.endpoint.address.rsplit(":", 1)
--- a/features/support/mutants.py
+++ b/features/support/mutants.py
@@ -536,9 +536,9 @@
 @defect(REPAIRING, Progress, "room")
 def sends_entries_while_it_probes(_):
     def mutant(self):
-        under_way = sum(batch.size for batch in self.batches)
-        most = progress.WINDOW_BYTES - under_way
-        return max(0, min(progress.MESSAGE_BYTES, most))
+        bytes_in_flight = sum(batch.size for batch in self.batches)
+        available = progress.WINDOW_BYTES - bytes_in_flight
+        return max(0, min(progress.MESSAGE_BYTES, available))
 
     return property(mutant)
 
