--- a/features/soak/audit.py
+++ b/features/soak/audit.py
@@ -109,7 +109,7 @@
     poison_runs: dict[bytes, list[float]] = attrs.Factory(
         lambda: collections.defaultdict(list)
     )
-    # Times at which callers sent requests, and at which these reached endpoints.
+    # Times at which callers sent requests and at which endpoints got them.
     sent: list[float] = attrs.Factory(list)
     arrivals: list[tuple[str, float]] = attrs.Factory(list)
 
@@ -297,8 +297,8 @@
     """Check that a revoked key is refused at all gateways in time."""
     ran = {run.request for run in observed.runs}
     return [
-        f"{outcome.request} ran {outcome.started_at - revoked_at:.1f} s after its key"
-        f" {outcome.key} was revoked"
+        f"{outcome.request} ran {outcome.started_at - revoked_at:.1f} s after its"
+        f" key {outcome.key} was revoked"
         for outcome in observed.outcomes
         if (revoked_at := observed.revoked_at.get(outcome.key)) is not None
         and outcome.started_at > revoked_at + MAX_REVOCATION_S
--- a/features/soak/endpoints.py
+++ b/features/soak/endpoints.py
@@ -102,7 +102,7 @@
         return await respond(seen.headers, reader, writer)
 
     def draw_mode(self, possible: tuple[str, ...]) -> str:
-        """Return how to misbehave for one request; empty for no misbehaviour."""
+        """Return how to misbehave for one request; empty for not at all."""
         if self.rng.random() < self.shed_fraction:
             return "reject"
         if not self.mode or self.rng.random() > MISBEHAVIOUR_PROBABILITY:
--- a/features/soak/fleet.py
+++ b/features/soak/fleet.py
@@ -253,7 +253,7 @@
         )
 
     def has_full_quorum(self) -> bool:
-        """Return whether a leader sees all current replicas as healthy voters."""
+        """Return whether a leader sees all replicas as healthy voters."""
         indexes = range(len(self.replicas))
         identities = {self.identity(index) for index in indexes}
         states = filter(None, map(self.fetch_dump, indexes))
--- a/features/soak/plan.py
+++ b/features/soak/plan.py
@@ -112,7 +112,7 @@
 
     Attributes:
         seconds: Duration of the faults, without warm-up and recovery.
-        replacing: Whether replicas are replaced and wiped, without other faults.
+        replacing: Whether the only faults are replaced and wiped replicas.
         mbits: Rate of the link to each replica in Mbit/s, 0 for no limit.
         routes: Additional routes of each version that receive no requests.
         poisons: Poison requests, which crash each endpoint that runs them.
@@ -219,7 +219,7 @@
 
 
 def draw_with_poison(seed: int, options: SoakOptions) -> list[Fault]:
-    """Return faults of gateways, versions and one replica, none of endpoints."""
+    """Return gateway kills, versions and the kill of one replica."""
     rng = random.Random(seed)
     at = WARM_UP_S
     found = [
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -208,7 +208,8 @@
         timeline.write(observed, folder / timeline.FILE)
         print(
             f"seed {seed}: {len(observed.outcomes)} requests, {served} served,"
-            f" {len(observed.runs)} runs, {len(observed.acknowledged_at)} versions,"
+            f" {len(observed.runs)} runs,"
+            f" {len(observed.acknowledged_at)} versions,"
             f" {len(violations)} violations"
         )
     if violations:
--- a/features/steps/chaos_steps.py
+++ b/features/steps/chaos_steps.py
@@ -59,7 +59,7 @@
             time.sleep(REQUEST_INTERVAL_S)
 
     def charge(self, client, rng, key):
-        """Send a charge, and resend it through other entries until it succeeds."""
+        """Send a charge through different entries until it succeeds."""
         responses = []
         for _ in range(MAX_ATTEMPTS):
             entry = f"entry-{rng.randrange(3)}"
@@ -234,7 +234,7 @@
     replicas: int = 3
 
     def admin_fetch(self, name, _path):
-        """Return the response of a replica that leads, or of one that does not."""
+        """Return the response of a leader or of another replica."""
         leads = time.monotonic() >= self.leads_at
         if leads and name == f"control-{self.replicas - 1}":
             leader = json.dumps({"leader": f"{name}#disk"}).encode()
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -51,8 +51,8 @@
 
 
 @when(
-    "a soak of seed {seed:d} with {routes:d} routes and links of {mbits:g} Mbit/s"
-    " replaces some of {count:d} replicas"
+    "a soak of seed {seed:d} with {routes:d} routes and links of {mbits:g}"
+    " Mbit/s replaces some of {count:d} replicas"
 )
 def soak_narrow(context, count, routes, mbits, seed):
     options = plan.SoakOptions(
@@ -193,7 +193,8 @@
 
 
 @when(
-    "it loses replicas {gap:g} s after others, with a repair timeout of {most:g} s"
+    "it loses replicas {gap:g} s after others, with a repair timeout of"
+    " {most:g} s"
 )
 def loses_twice(context, gap, most):
     kind = plan.FaultKind.WIPE_REPLICA
--- a/features/support/histories.py
+++ b/features/support/histories.py
@@ -330,7 +330,7 @@
         advance(machine, 5.0)
 
 
-# --- control state -------------------------------------------------------------
+# --- control state -----------------------------------------------------------
 
 
 def advance_cluster(machine, seconds):
