--- a/features/steps/replacement_steps.py
+++ b/features/steps/replacement_steps.py
@@ -67,7 +67,7 @@
 def mutants_detected(context):
     missed = []
     for label in mutants.REPLACING:
-        with mutants.planted(mutants.REPLACING, label):
+        with mutants.injected(mutants.REPLACING, label):
             caught = any(breaks(row) for row in context.table)
         if not caught:
             missed.append(label)
--- a/features/steps/retryhistories_steps.py
+++ b/features/steps/retryhistories_steps.py
@@ -52,7 +52,7 @@
 
 @then("one of the histories exceeds the budget")
 def is_caught(context):
-    with mutants.planted(retrydefects.DEFECTS, context.label):
+    with mutants.injected(retrydefects.DEFECTS, context.label):
         assert any(map(exceeds_budget, retryhistories.DIRECTED.values()))
 
 
--- a/features/support/retrydefects.py
+++ b/features/support/retrydefects.py
@@ -12,39 +12,39 @@
 
 @mutants.defect(DEFECTS, Share, "update")
 def a_restart_forgets_sent_retries(original):
-    def wrong(self, share, now, proved_at):
+    def mutant(self, share, now, proved_at):
         is_first = self.proved_at == float("-inf")
         original(self, share, now, proved_at)
         if is_first:
             self.held.popleft()
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, Share, "minimum")
 def the_newest_share_is_used(original):
-    def wrong(self, now):
+    def mutant(self, now):
         original(self, now)
         return self.held[-1].share
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, Share, "update")
 def a_share_outlives_its_proof(original):
-    def wrong(self, share, now, proved_at):
+    def mutant(self, share, now, proved_at):
         self.proved_at = now
         original(self, share, now, proved_at)
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, Share, "replace")
 def a_share_lasts_for_half_of_the_span(original):
-    def wrong(self, share, at):
+    def mutant(self, share, at):
         original(self, share, at - self.span_s / 2)
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, windowbudget, "GATEWAY_RATIO_SHARE")
@@ -54,18 +54,18 @@
 
 @mutants.defect(DEFECTS, windowbudget.WindowBudget, "trim")
 def retries_leave_the_window_early(original):
-    def wrong(self, now):
+    def mutant(self, now):
         original(self, now + self.window_s / 2)
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, windowbudget.WindowBudget, "charge")
 def reserved_retries_are_always_sent(original):
-    def wrong(self, retry, slack_share, now):
+    def mutant(self, retry, slack_share, now):
         return original(self, retry, slack_share, now) or True
 
-    return wrong
+    return mutant
 
 
 Lender = retrylending.RetryLender
@@ -73,27 +73,27 @@
 
 @mutants.defect(DEFECTS, Lender, "lend")
 def a_new_leader_lends_at_once(original):
-    def wrong(self, request, now):
+    def mutant(self, request, now):
         self.started_at = float("-inf")
         return original(self, request, now)
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, retrylending, "loan_lifetime_s")
 def a_loan_counts_only_until_its_expiry(original):
-    def wrong(window_s):
+    def mutant(window_s):
         return original(window_s) - window_s
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, retryloans.RetryLoans, "add")
 def loans_never_expire(original):
-    def wrong(self, amount, until):
+    def mutant(self, amount, until):
         original(self, amount, until + 60.0)
 
-    return wrong
+    return mutant
 
 
 @mutants.defect(DEFECTS, retrylending, "LENDABLE_FRACTION")
