--- a/features/steps/routedelta_steps.py
+++ b/features/steps/routedelta_steps.py
@@ -83,7 +83,7 @@
 
 def news(context) -> watching.News:
     """Return the response to a gateway with the old version."""
-    snapshot, delta = context.store.news(context.old.version)
+    snapshot, delta = context.store.update_since(context.old.version)
     return watching.News(
         epoch="e", registry_mark=1, routes=snapshot, routes_delta=delta
     )
--- a/src/_coltsfootroad/control/coordinator.py
+++ b/src/_coltsfootroad/control/coordinator.py
@@ -235,11 +235,11 @@
             self.record_announcement(
                 announcement, ANNOUNCEMENT_LEASE_S, now, from_endpoint=False
             )
-        whole, delta = self.state.routes.news(request.routes_version)
+        complete, delta = self.state.routes.update_since(request.routes_version)
         return attrs.evolve(
             self.fleet_state.page(request.epoch, request.registry_mark),
             registry_age_s=now - self.registry_since,
-            routes=whole,
+            routes=complete,
             routes_delta=delta,
         )
 
--- a/src/_coltsfootroad/control/node.py
+++ b/src/_coltsfootroad/control/node.py
@@ -354,7 +354,7 @@
             self.raft.applied >= self.raft.term_start_index
         )
         if ready and self.coordinator is None:
-            self.coordinator = self.create_hub(now)
+            self.coordinator = self.create_coordinator(now)
         elif ready:
             self.coordinator.publish_quarantine(now)
         elif not ready and self.coordinator is not None:
@@ -363,7 +363,7 @@
         if not self.raft.is_leader and self.pending_commands:
             self.fail_pending_commands()
 
-    def create_hub(self, now: float) -> coordinator_lib.Coordinator:
+    def create_coordinator(self, now: float) -> coordinator_lib.Coordinator:
         """Return the hub of a new leader, based on its mirror if current."""
         registry_since = self.watch_cache.registry_since
         if not self.watch_cache.is_fresh(now):
--- a/src/_coltsfootroad/control/reads.py
+++ b/src/_coltsfootroad/control/reads.py
@@ -42,14 +42,14 @@
     )
     if near:
         return watching.AskElsewhere(relays=near)
-    news = node.coordinator.on_watch(message, now)
-    return attrs.evolve(news, replicas=node.replica_addresses())
+    response = node.coordinator.on_watch(message, now)
+    return attrs.evolve(response, replicas=node.replica_addresses())
 
 
 def on_relay_watch(node, message: watching.RelayWatch, now: float) -> object:
     """Handle the watch of a relay."""
-    news = node.coordinator.on_relay_watch(message, now)
-    return attrs.evolve(news, replicas=node.replica_addresses())
+    response = node.coordinator.on_relay_watch(message, now)
+    return attrs.evolve(response, replicas=node.replica_addresses())
 
 
 def on_announce(node, message: messages.Announce, now: float) -> object:
--- a/src/_coltsfootroad/control/routestore.py
+++ b/src/_coltsfootroad/control/routestore.py
@@ -64,7 +64,7 @@
         while len(self.recent) > MAX_RECENT:
             del self.recent[next(iter(self.recent))]
 
-    def news(
+    def update_since(
         self, version: int
     ) -> tuple[routes_lib.RouteConfig | None, routedelta.RouteDelta | None]:
         """Return the update for a gateway: a complete version or a delta.
--- a/src/_coltsfootroad/control/watchcache.py
+++ b/src/_coltsfootroad/control/watchcache.py
@@ -188,12 +188,12 @@
         if near:
             return watching.AskElsewhere(relays=near)
         self.renew_watcher(request, now)
-        whole, delta = self.routes.news(request.routes_version)
+        complete, delta = self.routes.update_since(request.routes_version)
         return attrs.evolve(
             self.fleet_state.page(request.epoch, request.registry_mark),
             proof_age_s=now - self.confirmed_at,
             registry_age_s=now - self.registry_since,
-            routes=whole,
+            routes=complete,
             routes_delta=delta,
             replicas=self.replicas,
         )
--- a/src/_coltsfootroad/core/candidates.py
+++ b/src/_coltsfootroad/core/candidates.py
@@ -102,15 +102,15 @@
             endpoint
         )
     limits = (counts.idle, counts.decoding, counts.prefilling)
-    picked, unpicked = [], []
+    picked, remaining = [], []
     for candidates, limit in zip(kinds, limits, strict=True):
         chosen = balance_zones(candidates, limit, zone)
         names = {endpoint.name for endpoint in chosen}
         picked += chosen
-        unpicked += [
+        remaining += [
             endpoint for endpoint in candidates if endpoint.name not in names
         ]
-    return picked + unpicked[: counts.total - len(picked)]
+    return picked + remaining[: counts.total - len(picked)]
 
 
 def sort_by_queue(
--- a/src/_coltsfootroad/core/dispatcher.py
+++ b/src/_coltsfootroad/core/dispatcher.py
@@ -96,8 +96,8 @@
             return self.decode_s(request, pool)
         speed = self.typical_view(pool).speed
         cached = 1.0 if request.prefix_hashes else 0.0
-        read_s = speed.prefill_s(request.prompt_tokens * (1 - cached))
-        return read_s + self.decode_s(request, pool)
+        prefill_s = speed.prefill_s(request.prompt_tokens * (1 - cached))
+        return prefill_s + self.decode_s(request, pool)
 
     def decode_s(
         self, request: request_lib.Request, pool: pool_lib.ServicePool
--- a/src/_coltsfootroad/core/enginemodel.py
+++ b/src/_coltsfootroad/core/enginemodel.py
@@ -10,8 +10,8 @@
     210,000 tokens takes ten times as long as one of 45,000.
     """
     pairs = tokens * tokens / 2
-    whole = tokens / spec.read_tokens_per_s + pairs * spec.pair_s
-    return whole / max(1, parts)
+    total_s = tokens / spec.read_tokens_per_s + pairs * spec.pair_s
+    return total_s / max(1, parts)
 
 
 def pass_s(spec: routes.EngineSpec, streams: int, context: int) -> float:
--- a/src/_coltsfootroad/core/enginestate.py
+++ b/src/_coltsfootroad/core/enginestate.py
@@ -155,8 +155,8 @@
     done_at = NEVER
     pending = [work for work in works if not work.writing]
     for work in sorted(pending, key=lambda w: w.sent_at):
-        whole = enginemodel.prefill_s(spec, work.prompt_tokens, work.parts)
-        done_at = max(done_at, work.sent_at) + slowdown * whole
+        prefill_s = enginemodel.prefill_s(spec, work.prompt_tokens, work.parts)
+        done_at = max(done_at, work.sent_at) + slowdown * prefill_s
     return done_at
 
 
--- a/src/_coltsfootroad/core/entry.py
+++ b/src/_coltsfootroad/core/entry.py
@@ -265,7 +265,7 @@
     ) -> list[actions.Action]:
         """Handle an announcement that an endpoint sent to this entry."""
         self.syncing.announced[announcement.endpoint] = announcement
-        self.roster.take_announcement(announcement, now)
+        self.roster.apply_announcement(announcement, now)
         return self.flush()
 
     def on_load(
@@ -273,7 +273,7 @@
     ) -> list[actions.Action]:
         """Handle a load report that an endpoint sent to this entry."""
         self.syncing.reported[report.endpoint] = report
-        self.roster.take_load(report, now)
+        self.roster.apply_load_report(report, now)
         return self.flush()
 
     def on_cache_event(
--- a/src/_coltsfootroad/core/fanout.py
+++ b/src/_coltsfootroad/core/fanout.py
@@ -28,7 +28,10 @@
 
 
 def deliveries(
-    receivers: Iterable[addresses.Member], sender: str, zone: str, turn: int
+    receivers: Iterable[addresses.Member],
+    sender: str,
+    zone: str,
+    fanout_round: int,
 ) -> list[Delivery]:
     """Return the copies of a message of a `sender` in `zone` to all receivers.
 
@@ -36,7 +39,7 @@
     partitioned one hides a sender from its zone for one turn only.
     """
     found = []
-    key = f"{FANOUT_KEY}/{sender}/{turn}"
+    key = f"{FANOUT_KEY}/{sender}/{fanout_round}"
     for receiver_zone, members in group_by_zone(receivers).items():
         if receiver_zone == zone or len(members) == 1:
             found += [Delivery(member) for member in members]
--- a/src/_coltsfootroad/core/grouping.py
+++ b/src/_coltsfootroad/core/grouping.py
@@ -87,9 +87,9 @@
     """
     for count in range(2, min(MAX_GROUP, len(views)) + 1):
         per_engine = math.ceil(request.cost_tokens / count)
-        roomy = [v for v in views if has_room(v, per_engine, free_now)]
-        if len(roomy) >= count:
-            return make_plan(request, band, roomy[:count], per_engine)
+        with_room = [v for v in views if has_room(v, per_engine, free_now)]
+        if len(with_room) >= count:
+            return make_plan(request, band, with_room[:count], per_engine)
     return None
 
 
--- a/src/_coltsfootroad/core/interfaces.py
+++ b/src/_coltsfootroad/core/interfaces.py
@@ -109,13 +109,15 @@
     """Tracks endpoints by announcements and load reports."""
 
     @abc.abstractmethod
-    def take_announcement(
+    def apply_announcement(
         self, announcement: registry.Announcement, now: float
     ) -> None:
         """Update the view of an endpoint unless a newer one is known."""
 
     @abc.abstractmethod
-    def take_load(self, report: endpoints.LoadReport, now: float) -> None:
+    def apply_load_report(
+        self, report: endpoints.LoadReport, now: float
+    ) -> None:
         """Handle an endpoint's load report."""
 
     @abc.abstractmethod
--- a/src/_coltsfootroad/core/roster.py
+++ b/src/_coltsfootroad/core/roster.py
@@ -16,7 +16,7 @@
 
     core: interfaces.RosterContext
 
-    def take_announcement(
+    def apply_announcement(
         self, announcement: registry.Announcement, now: float
     ) -> None:
         """Apply an announcement unless a newer one is known."""
@@ -91,7 +91,9 @@
                     flight, view.name, Fault.LOST, now
                 )
 
-    def take_load(self, report: endpoints.LoadReport, now: float) -> None:
+    def apply_load_report(
+        self, report: endpoints.LoadReport, now: float
+    ) -> None:
         """Apply a load report and reconcile the held memory."""
         view = self.core.view(report.endpoint)
         if view is None or not view.on_report(report, now):
--- a/src/_coltsfootroad/core/syncing.py
+++ b/src/_coltsfootroad/core/syncing.py
@@ -110,10 +110,10 @@
         for name in reply.gone:
             self.core.roster.expire_endpoint(name, now)
         for announcement in reply.announcements:
-            self.core.roster.take_announcement(announcement, now)
+            self.core.roster.apply_announcement(announcement, now)
         self.core.roster.drop_expired(now)
         for aged in reply.loads:
-            self.core.roster.take_load(
+            self.core.roster.apply_load_report(
                 attrs.evolve(aged.report, measured_at=now - aged.age_s), now
             )
         self.apply_group_holds(reply.group_holds)
