--- a/src/_coltsfootroad/control/configstore.py
+++ b/src/_coltsfootroad/control/configstore.py
@@ -96,8 +96,8 @@
     def update_since(self, version: int) -> messages.ConfigUpdate | None:
         """Return the update from `version`, None if it is current.
 
-        Sends the patches in between if they are known and small, else the whole
-        document.
+        Sends the patches in between if they are known and small, else the
+        complete document.
         """
         if version == self.version:
             return None
@@ -134,8 +134,8 @@
     """Return the version and document after an update.
 
     Returns None if the update is not newer or is based on another version; the
-    receiver then requests the whole document. Intermediate versions are never
-    in force.
+    receiver then requests the complete document. Intermediate versions are
+    never used.
     """
     if update.version <= version:
         return None
--- a/src/_coltsfootroad/control/electiontimer.py
+++ b/src/_coltsfootroad/control/electiontimer.py
@@ -47,7 +47,7 @@
         leader_contact_at: When the last message of a leader arrived, initially
             the start of the process. A restarted replica does not know when it
             last had contact, and must still grant no votes while the lease of
-            that leader may be in force.
+            that leader may be valid.
         election_at: When the replica campaigns next.
         has_ticked: Whether the timer has run since the start.
         leader_term: Term of the last known leader.
--- a/src/_coltsfootroad/control/log.py
+++ b/src/_coltsfootroad/control/log.py
@@ -26,7 +26,8 @@
         kind: What the entry holds.
         at: Unix seconds on the clock of the leader that appended it.
         data: Encoded command, empty for other kinds.
-        replica_set: Replica set in force from this entry on, for `REPLICAS`.
+        replica_set: Replica set that applies from this entry on, for
+            `REPLICAS` only.
     """
 
     term: int
@@ -44,7 +45,7 @@
     Attributes:
         index: Index of the last entry that it covers.
         term: Term of that entry.
-        replica_set: Replica set in force at that entry.
+        replica_set: Replica set that applies at that entry.
         size: Size of the snapshot in bytes.
     """
 
@@ -124,14 +125,14 @@
         del self.entries[index - self.snapshot.index - 1 :]
 
     def replica_set(self) -> replicas.ReplicaSet:
-        """Return the newest replica set, in force as soon as it is appended."""
+        """Return the newest replica set; it applies once it is appended."""
         for entry in reversed(self.entries):
             if entry.kind is EntryKind.REPLICAS:
                 return entry.replica_set
         return self.snapshot.replica_set
 
     def replica_set_at(self, index: int) -> replicas.ReplicaSet:
-        """Return the replica set that was in force at an index."""
+        """Return the replica set that applied at an index."""
         for entry in reversed(self.entries):
             if entry.index <= index and entry.kind is EntryKind.REPLICAS:
                 return entry.replica_set
--- a/src/_coltsfootroad/control/membership.py
+++ b/src/_coltsfootroad/control/membership.py
@@ -1,6 +1,6 @@
 """Automatic membership changes: promotes learners and removes failed voters.
 
-A VM may lose its disk, be replaced at another address, or never come back. 2.5
+A VM may lose its disk, be replaced at another address, or never return. 2.5
 seconds after the last loss, return or replacement, the replica set tolerates
 its configured number of failures again. A failed voter must therefore not stay
 in the set beside its replacement: four voters of which one has failed tolerate
@@ -112,7 +112,7 @@
         """Return the promotion of a learner to voter, None if not yet possible.
 
         Args:
-            current: The replica set in force.
+            current: The current replica set.
             reply_ages: Seconds since the last reply of each replica.
             caught_up: Learners that hold nearly all of the log. Other learners
                 must not delay their promotion or the removal of a voter.
@@ -228,7 +228,7 @@
     """Return the replica set that a change results in, or its refusal."""
     identity = message.replica.identity
     voters = tuple(r for r in current.voters if r.identity != identity)
-    # A learner of the same name is an earlier disk that is gone for good.
+    # A learner of the same name has an earlier disk that is lost permanently.
     learners = tuple(
         r for r in current.learners if r.name != message.replica.name
     )
--- a/src/_coltsfootroad/control/messages.py
+++ b/src/_coltsfootroad/control/messages.py
@@ -273,7 +273,7 @@
 
 @attrs.frozen(kw_only=True)
 class PutRoutes:
-    """Puts a complete version of the routes in force, if it is the highest.
+    """Applies a complete version of the routes if it is the highest.
 
     `source` is the document as the operator sent it, for `ReadRoutes`.
     """
@@ -284,12 +284,12 @@
 
 @attrs.frozen(kw_only=True)
 class ReadRoutes:
-    """Requests the document of the version in force."""
+    """Requests the document of the current version."""
 
 
 @attrs.frozen(kw_only=True)
 class RoutesCopy:
-    """The version in force, -1 for none, and its document."""
+    """The current version, -1 for none, and its document."""
 
     version: int
     source: bytes = b""
--- a/src/_coltsfootroad/control/node.py
+++ b/src/_coltsfootroad/control/node.py
@@ -1,6 +1,7 @@
 """One replica of the control plane, without network I/O.
 
-Combines consensus, storage, the state machine, and the hub while leading.
+Combines consensus, storage, the state machine and, while leading, the
+coordinator.
 """
 
 import collections
@@ -96,8 +97,9 @@
         started_at: When the process started.
         raft: Consensus state.
         state: State machine that committed commands are applied to.
-        hub: Live state of the fleet, only while leading.
-        mirror: Copy of the leader's hub, from which a new leader's hub starts.
+        coordinator: Live state of the fleet, only while leading.
+        watch_cache: Copy of the leader's fleet state, from which the
+            coordinator of a new leader starts.
         pending_commands: Commands that wait to be applied, by log index.
         pending_ready: The `Ready` that could not be stored on a full disk.
         blocked_until: When a full disk is tried again.
@@ -349,7 +351,7 @@
             self.snapshot_due_at = now + FULL_DISK_RETRY_S
 
     def update_coordinator(self, now: float) -> None:
-        """Create or drop the hub as this replica starts or stops leading."""
+        """Create the coordinator when leading begins, drop it when it ends."""
         ready = self.raft.is_leader and (
             self.raft.applied >= self.raft.term_start_index
         )
@@ -364,7 +366,10 @@
             self.fail_pending_commands()
 
     def create_coordinator(self, now: float) -> coordinator_lib.Coordinator:
-        """Return the hub of a new leader, based on its mirror if current."""
+        """Return the coordinator of a new leader.
+
+        It continues from the watch cache if that is fresh.
+        """
         registry_since = self.watch_cache.registry_since
         if not self.watch_cache.is_fresh(now):
             self.watch_cache.fleet_state.clear()
--- a/src/_coltsfootroad/control/raft.py
+++ b/src/_coltsfootroad/control/raft.py
@@ -110,7 +110,7 @@
 
     @property
     def replica_set(self) -> replicas.ReplicaSet:
-        """Return the replica set in force: the newest one in the log."""
+        """Return the current replica set: the newest one in the log."""
         return self.log.replica_set()
 
     @property
@@ -122,9 +122,9 @@
     def is_idle(self) -> bool:
         """Return whether it has neither had a leader nor led since its start.
 
-        If all voters are idle, no lease can be in force, because its holder
-        has restarted as well. They skip the wait for the end of the lease,
-        which shortens the first election after a restart of all replicas.
+        If all voters are idle, no lease can be valid, because its holder has
+        restarted as well. They skip the wait for the end of the lease, which
+        shortens the first election after a restart of all replicas.
         """
         return not self.is_leader and self.timer.has_no_leader_since_start
 
@@ -503,7 +503,7 @@
             self.update_tracked_replicas(now)
 
     def update_tracked_replicas(self, now: float) -> None:
-        """Track progress of exactly the replicas of the set in force."""
+        """Track progress of exactly the replicas of the current set."""
         by_identity = self.replica_set.by_identity()
         for identity in by_identity:
             if identity not in self.progress:
@@ -683,7 +683,7 @@
             self.become_follower(self.term, "", now)
 
     def replica_set_index(self) -> int:
-        """Return the index of the entry that holds the set in force."""
+        """Return the index of the entry that holds the current set."""
         for entry in reversed(self.log.entries):
             if entry.kind is log_lib.EntryKind.REPLICAS:
                 return entry.index
--- a/src/_coltsfootroad/control/reads.py
+++ b/src/_coltsfootroad/control/reads.py
@@ -61,7 +61,7 @@
 
 
 def read_routes(node, _: messages.ReadRoutes, __: float) -> object:
-    """Return the route configuration in force, as its source document."""
+    """Return the current route configuration as its source document."""
     routes = node.state.routes
     return messages.RoutesCopy(version=routes.version, source=routes.source)
 
@@ -92,7 +92,7 @@
 
 
 def take_snapshot(node, _: messages.TakeSnapshot, __: float) -> object:
-    """Return a snapshot of the whole state."""
+    """Return a snapshot of the complete state."""
     return messages.SnapshotCopy(
         index=node.raft.applied, data=state_lib.save(node.state)
     )
--- a/src/_coltsfootroad/control/retrylending.py
+++ b/src/_coltsfootroad/control/retrylending.py
@@ -112,7 +112,7 @@
     services: dict[str, ServiceLoans] = attrs.Factory(dict)
 
     def lend(self, request: BorrowRetries, now: float) -> RetriesLent:
-        """Return the retries that a gateway may send within `LOAN_S`."""
+        """Return the retries that a gateway may send while the loan lasts."""
         lifetime_s = loan_lifetime_s(request.window_s)
         service_loans = self.loans_of(request.service, now)
         if service_loans is None:
--- a/src/_coltsfootroad/control/routestore.py
+++ b/src/_coltsfootroad/control/routestore.py
@@ -1,4 +1,4 @@
-"""Stores the route configuration in force: the highest version."""
+"""Stores the current route configuration, which is the highest version."""
 
 import attrs
 
@@ -13,13 +13,13 @@
 
 @attrs.define
 class RouteStore:
-    """Holds the version in force and the document that it was parsed from.
+    """Holds the current version and the document that it was parsed from.
 
     Attributes:
-        config: The version in force, None before the first one.
+        config: The current version, None before the first one.
         source: The document that it was parsed from.
         recent: Earlier versions since the process started, newest last.
-        deltas: Cached deltas to the version in force by base version; None if
+        deltas: Cached deltas to the current version by base version; None if
             the complete version has to be sent.
     """
 
@@ -30,7 +30,7 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force."""
+        """Return the current version."""
         return (
             routes_lib.NO_VERSION
             if self.config is None
@@ -41,7 +41,7 @@
         """Store a higher version; acknowledge any other without a change.
 
         An operator resends a version whose outcome is unknown, possibly after a
-        later version is in force. The first configuration that was stored under
+        later version is in use. The first configuration that was stored under
         a version number keeps it.
         """
         if self.adopt(command.config):
@@ -49,7 +49,7 @@
         return messages.RoutesCopy(version=self.version)
 
     def adopt(self, config: routes_lib.RouteConfig) -> bool:
-        """Put a version in force if it is higher; return whether it was."""
+        """Apply a version if it is higher; return whether it was applied."""
         if config.version <= self.version:
             return False
         self.retain_current()
@@ -57,7 +57,7 @@
         return True
 
     def retain_current(self) -> None:
-        """Keep the version in force as a base for deltas."""
+        """Keep the current version as a base for deltas."""
         self.deltas.clear()
         if self.config is not None:
             self.recent[self.version] = self.config
@@ -69,7 +69,7 @@
     ) -> tuple[routes_lib.RouteConfig | None, routedelta.RouteDelta | None]:
         """Return the update for a gateway: a complete version or a delta.
 
-        Both are None if its version is the one in force or a later one.
+        Both are None if its version is the current one or a later one.
         """
         if self.version <= version:
             return None, None
--- a/src/_coltsfootroad/control/state.py
+++ b/src/_coltsfootroad/control/state.py
@@ -121,7 +121,7 @@
 
 @attrs.frozen(kw_only=True)
 class SavedState:
-    """The whole state in a snapshot."""
+    """The complete state in a snapshot."""
 
     format: int
     now: float
--- a/src/_coltsfootroad/control/votermonitor.py
+++ b/src/_coltsfootroad/control/votermonitor.py
@@ -66,7 +66,7 @@
         }
 
     def is_uncertain(self, now: float) -> bool:
-        """Return whether this replica cannot tell which voters are available.
+        """Return whether this replica cannot know which voters are available.
 
         A follower receives messages of the leader only, and a replica that has
         just started has had no time to receive messages.
--- a/src/_coltsfootroad/control/watchcache.py
+++ b/src/_coltsfootroad/control/watchcache.py
@@ -42,7 +42,7 @@
     Attributes:
         relay: The relay itself.
         fleet_state: Copy of the leader's fleet state.
-        routes: Route version in force, and deltas from earlier versions.
+        routes: Current route version, and deltas from earlier versions.
         watchers: Gateways that watch this relay, by name.
         unreported: Gateways that attached, changed or detached (None) since
             the last report to the leader.
@@ -51,7 +51,7 @@
         reported_epoch: Epoch of the leader that knows all `watchers` except
             those in `unreported`.
         confirmed_at: When the request was sent that a leader answered last;
-            the version in force was current at that time.
+            the route version held was current at that time.
         synced_at: When the copy last matched the leader's state.
         registry_since: When the leader began to receive announcements.
         replicas: Addresses of the replicas.
--- a/src/_coltsfootroad/control/watching.py
+++ b/src/_coltsfootroad/control/watching.py
@@ -34,7 +34,7 @@
     Attributes:
         member: The gateway itself.
         attachment: Number of times that the gateway has chosen a relay.
-        routes_version: Route version in force at the gateway, -1 for none.
+        routes_version: Route version in use at the gateway, -1 for none.
         epoch: Epoch of the registry that `registry_mark` belongs to.
         registry_mark: Revision up to which the gateway knows the registry.
         announcements: Announcements that the gateway holds, for a new leader
@@ -115,7 +115,7 @@
         lost_members: Gateways that were removed.
         announcements: Endpoints, new or changed.
         gone: Endpoints whose lease expired.
-        left: Sign-offs of endpoints that left for good.
+        left: Sign-offs of endpoints that left permanently.
         relays: Relays, new or changed.
         lost_relays: Relays that were removed.
         quarantined: Quarantined requests, new or changed.
--- a/src/_coltsfootroad/core/addresses.py
+++ b/src/_coltsfootroad/core/addresses.py
@@ -21,7 +21,7 @@
         availability_zone: Availability zone in which it runs.
         leaving: Whether it is draining.
         load: Requests in flight at its last heartbeat.
-        config_version: Version in force at its last heartbeat.
+        config_version: Version in use at its last heartbeat.
         short_loads: Number of engines busy with its short prompts, by service.
     """
 
--- a/src/_coltsfootroad/core/admission.py
+++ b/src/_coltsfootroad/core/admission.py
@@ -141,8 +141,8 @@
 ) -> errors.Failure | None:
     """Return a refusal if the rate limit blocks a request past its deadline.
 
-    Such a request would only time out in the queue. Refusing it at once tells
-    the caller when to retry.
+    Such a request would only time out in the queue. Refusing it at once
+    informs the caller when to retry.
     """
     if not meter.has_lease(now):
         return None
--- a/src/_coltsfootroad/core/config.py
+++ b/src/_coltsfootroad/core/config.py
@@ -75,7 +75,7 @@
 
 @attrs.frozen(kw_only=True)
 class Workspace:
-    """Settings of one workspace; limits hold for the whole fleet.
+    """Settings of one workspace; limits apply to the entire fleet.
 
     Attributes:
         key_sha256: Hashes of the API keys of the workspace.
@@ -117,7 +117,7 @@
 
 @attrs.frozen(kw_only=True)
 class Fleet:
-    """Settings of the fleet as a whole.
+    """Fleet-wide settings.
 
     Attributes:
         address_validity_s: How long callers may use an address answer.
--- a/src/_coltsfootroad/core/crashledger.py
+++ b/src/_coltsfootroad/core/crashledger.py
@@ -19,7 +19,7 @@
 # Crashes that resolve an ambiguity if they had other suspects, all of which
 # have been answered since.
 MIN_SHARED_CRASHES = 2
-# Crashes that make a culprit whatever else was in flight.
+# Crashes that make a culprit regardless of what else was in flight.
 CONCLUSIVE_CRASHES = 8
 # A harmless request has been answered this long after a crash.
 ANSWER_DELAY_S = 0.3
--- a/src/_coltsfootroad/core/endpoints.py
+++ b/src/_coltsfootroad/core/endpoints.py
@@ -108,7 +108,7 @@
 
     `backlog` estimates the pending prompt tokens per band: those of the last
     report plus own dispatches that the report does not contain, drained at the
-    observed prefill rate since. Dispatch marks tell which dispatches a report
+    observed prefill rate since. Dispatch marks show which dispatches a report
     contains, so that none counts twice.
     """
 
@@ -299,8 +299,8 @@
         """Add the remainder of a dispatch that a report does not contain.
 
         It drains from the time of the dispatch. Draining it from the time of
-        the report removed a fresh dispatch at once, so that short prompts
-        collided on engines that looked idle.
+        the report would remove a recent dispatch at once, so that short
+        prompts would collide on engines that look idle.
         """
         prefilled = (now - since) * self.speed.prefill_rate
         self.backlog[work.band] += max(0.0, work.prompt_tokens - prefilled)
--- a/src/_coltsfootroad/core/engineplacement.py
+++ b/src/_coltsfootroad/core/engineplacement.py
@@ -35,11 +35,11 @@
 IDLE_ENGINE_COST = 0.2
 # Cost of each part, so that ties go to fewer parts.
 PART_COST = 0.01
-# Cost of a request over the batch, which waits for a whole answer.
+# Cost of a request over the batch, which waits for a complete answer.
 FULL_BATCH_COST = 3.0
 # Cost of the last slot of a batch: another gateway may use it in the
 # milliseconds until it learns of this choice, and one of the two requests then
-# waits for a whole answer.
+# waits for a complete answer.
 LAST_SLOT_COST = 0.05
 # Cost of each request that is queued on an engine, so that late requests are
 # spread over the engines.
@@ -185,7 +185,7 @@
     """Return the helpers, with tokens, that hold what `lead` cannot.
 
     Returns None if they cannot hold all of it. Returns an empty tuple if the
-    whole KV cache fits into the total memory of `lead`, which frees its own
+    entire KV cache fits into the total memory of `lead`, which frees its own
     memory by itself.
     """
     needed = prompt.prompt_tokens + prompt.output_tokens
--- a/src/_coltsfootroad/core/enginestate.py
+++ b/src/_coltsfootroad/core/enginestate.py
@@ -148,9 +148,9 @@
 ) -> float:
     """Return the time at which an engine ends its pending prefill.
 
-    An engine prefills one part after the other. Counting each from the time at
-    which it was sent made several long prompts on one engine look done while
-    most of them were still queued.
+    An engine prefills one part after the other. If each were counted from
+    the time at which it was sent, several long prompts on one engine would
+    look done while most of them are still queued.
     """
     done_at = NEVER
     pending = [work for work in works if not work.writing]
--- a/src/_coltsfootroad/core/enginestatecache.py
+++ b/src/_coltsfootroad/core/enginestatecache.py
@@ -8,7 +8,7 @@
 from _coltsfootroad.core import routes
 from _coltsfootroad.core import work as work_lib
 
-# The whole cache is cleared at this size, which drops engines that have ended.
+# The entire cache is cleared at this size, which drops engines that have ended.
 MAX_CACHED_STATES = 4_096
 
 
--- a/src/_coltsfootroad/core/entry.py
+++ b/src/_coltsfootroad/core/entry.py
@@ -97,7 +97,7 @@
 
     @property
     def config(self) -> config_lib.Config:
-        """Return the configuration in force."""
+        """Return the current configuration."""
         return self.freshness.config
 
     def flush(self) -> list[actions.Action]:
--- a/src/_coltsfootroad/core/fanout.py
+++ b/src/_coltsfootroad/core/fanout.py
@@ -35,8 +35,8 @@
 ) -> list[Delivery]:
     """Return the copies of a message of a `sender` in `zone` to all receivers.
 
-    Each `turn` selects other forwarding gateways, so that a frozen or
-    partitioned one hides a sender from its zone for one turn only.
+    Each `fanout_round` selects other forwarding gateways, so that a frozen or
+    partitioned one hides a sender from its zone for one round only.
     """
     found = []
     key = f"{FANOUT_KEY}/{sender}/{fanout_round}"
--- a/src/_coltsfootroad/core/freshness.py
+++ b/src/_coltsfootroad/core/freshness.py
@@ -44,7 +44,7 @@
     def adopt(
         self, version: int, document: dict, config: config_lib.Config
     ) -> bool:
-        """Put a version in force if it is newer than the present one."""
+        """Apply a version if it is newer; return whether it was applied."""
         if version <= self.version:
             return False
         self.version = version
--- a/src/_coltsfootroad/core/interfaces.py
+++ b/src/_coltsfootroad/core/interfaces.py
@@ -171,7 +171,7 @@
     @property
     @abc.abstractmethod
     def config(self) -> config_lib.Config:
-        """Return the configuration in force."""
+        """Return the current configuration."""
 
     @abc.abstractmethod
     def output_share(self, service: str) -> admission.OutputShare:
--- a/src/_coltsfootroad/core/minimumshare.py
+++ b/src/_coltsfootroad/core/minimumshare.py
@@ -28,7 +28,7 @@
         span_s: Length of the span, which ends now.
         lease_s: Age of the proof up to which a share is held.
         proved_at: Time of the newest proof that the members are current.
-        held: Shares in force within the span, in increasing order.
+        held: Shares held within the span, in increasing order.
     """
 
     span_s: float
@@ -39,7 +39,7 @@
     )
 
     def update(self, share: float, now: float, proved_at: float) -> None:
-        """Set the share in force from `now` on, from members of `proved_at`."""
+        """Set the share held from `now` on, from members of `proved_at`."""
         expired_at = self.proved_at + self.lease_s
         if now > expired_at:
             self.replace(0.0, expired_at)
@@ -47,7 +47,7 @@
         self.replace(share, now)
 
     def replace(self, share: float, at: float) -> None:
-        """Replace the share in force at a time."""
+        """Replace the share that is held, from a time on."""
         if share == self.held[-1].share:
             return
         self.held[-1].until = at
--- a/src/_coltsfootroad/core/outliers.py
+++ b/src/_coltsfootroad/core/outliers.py
@@ -60,8 +60,8 @@
         """Back off from an endpoint that refuses connections.
 
         No process listens there, so the backoff costs no capacity, and the
-        limit on ejections does not apply. Without it, a request spent all its
-        retries on one dead engine that looked idle.
+        limit on ejections does not apply. Without it, a request would spend all
+        its retries on one dead engine that looks idle.
         """
         health = self.health.setdefault(endpoint, Health())
         health.refusals += 1
@@ -81,7 +81,7 @@
     def median_slowness(self) -> float:
         """Return the median slowness, 1 at least.
 
-        Comparing with the median ejects no endpoint if the whole fleet is slow.
+        Comparing with the median ejects no endpoint if all endpoints are slow.
         """
         self.since_median += 1
         if self.since_median >= MEDIAN_EVERY:
--- a/src/_coltsfootroad/core/policies.py
+++ b/src/_coltsfootroad/core/policies.py
@@ -279,8 +279,8 @@
         """Return the first spare short-only engines that have room now.
 
         A short-only engine may still decode for long prompts and have no free
-        memory. Offering only the first two of the order made prompts wait for
-        those while a dozen other engines were idle.
+        memory. If only the first two of the order were offered, prompts would
+        wait for those while a dozen other engines are idle.
         """
         offered = pool.short_only.first(min(spare, MAX_SCANNED))
         with_room = [
--- a/src/_coltsfootroad/core/pool.py
+++ b/src/_coltsfootroad/core/pool.py
@@ -58,7 +58,8 @@
         """Return up to `count` distinct names in random order.
 
         The order is random even if all names are returned: with the shared
-        order, all entries would break ties between idle engines alike.
+        order, all entries would resolve ties between idle engines in the
+        same way.
         """
         positions = range(len(self.names))
         chosen = rng.sample(positions, min(count, len(positions)))
--- a/src/_coltsfootroad/core/rotation.py
+++ b/src/_coltsfootroad/core/rotation.py
@@ -17,8 +17,8 @@
 from _coltsfootroad.core import hashing
 from _coltsfootroad.core import members as members_lib
 
-# Gateways in rotation in each availability zone whatever its size: three of
-# four can carry the callers of a lost one, and small deployments use all.
+# Gateways in rotation in an availability zone of any size: three of four can
+# carry the callers of a lost one, and small deployments use all.
 MIN_PER_ZONE = 4
 # Share of a zone's gateways in rotation. It suits gateways with less than one
 # request a second each; deployments with more need a larger share.
--- a/src/_coltsfootroad/core/routedelta.py
+++ b/src/_coltsfootroad/core/routedelta.py
@@ -1,8 +1,8 @@
 """Deltas between two versions of the routes.
 
 Versions change many times a second, contain hundreds of routes, and every
-gateway needs the newest one. A whole version takes a hundred times the bytes of
-a delta of one route.
+gateway needs the newest one. A complete version takes a hundred times the
+bytes of a delta of one route.
 """
 
 import attrs
@@ -11,8 +11,8 @@
 
 # Host and prefix of a route, unique within a version.
 RouteKey = tuple[str, str]
-# With a larger share of changed routes the whole version is sent: it is read
-# about as fast, and it repairs whatever state a gateway holds.
+# With a larger share of changed routes the complete version is sent: it is
+# parsed about as fast, and it repairs any state that a gateway holds.
 MAX_CHANGED_SHARE = 0.5
 
 
@@ -45,7 +45,7 @@
 def between(
     old: routes.RouteConfig, new: routes.RouteConfig
 ) -> RouteDelta | None:
-    """Return the delta, None if the whole version should be sent."""
+    """Return the delta, None if the complete version should be sent."""
     before, after = by_key(old), by_key(new)
     changed = tuple(
         route for key, route in after.items() if before.get(key) != route
--- a/src/_coltsfootroad/core/routesync.py
+++ b/src/_coltsfootroad/core/routesync.py
@@ -1,4 +1,4 @@
-"""Tracks the routes in force from the snapshots and deltas of a watch."""
+"""Tracks the current routes from the snapshots and deltas of a watch."""
 
 import attrs
 
@@ -11,8 +11,8 @@
     """Result of a response.
 
     Attributes:
-        config: The version to put in force, None to keep the one held.
-        is_current: Whether the version held afterwards was in force when the
+        config: The version to use from now on, None to keep the one held.
+        is_current: Whether the version held afterwards was current when the
             request was sent.
     """
 
--- a/src/_coltsfootroad/core/routeview.py
+++ b/src/_coltsfootroad/core/routeview.py
@@ -1,4 +1,4 @@
-"""The routes in force at a gateway and the proof that they are current."""
+"""The routes in use at a gateway and the proof that they are current."""
 
 import attrs
 
@@ -38,17 +38,17 @@
 
     @property
     def config(self) -> routes.RouteConfig | None:
-        """Return the routes in force."""
+        """Return the routes in use."""
         return None if self.table is None else self.table.config
 
     @property
     def version(self) -> int:
-        """Return the version in force, `NO_VERSION` for none."""
+        """Return the version in use, `NO_VERSION` for none."""
         config = self.config
         return routes.NO_VERSION if config is None else config.version
 
     def adopt(self, config: routes.RouteConfig) -> bool:
-        """Put a version in force if it is higher than the present one."""
+        """Apply a version if it is higher; return whether it was applied."""
         if config.version <= self.version:
             return False
         self.table = routes.RouteTable(config)
--- a/src/_coltsfootroad/core/sends.py
+++ b/src/_coltsfootroad/core/sends.py
@@ -1,8 +1,8 @@
 """Tracks the sends of a request and decides whether it may be sent again.
 
 A request that failed at an endpoint is sent to other endpoints only as often as
-its route allows, since most such failures are caused by the request itself: of
-the lookups that failed at one endpoint of a deployment, 18 of 25 failed at a
+its route allows, since most such failures are caused by the request itself: in
+one deployment, 18 of 25 lookups that failed at one endpoint also failed at a
 second one, and retrying at both did not answer more of them.
 """
 
--- a/src/_coltsfootroad/core/servicetime.py
+++ b/src/_coltsfootroad/core/servicetime.py
@@ -1,8 +1,8 @@
 """Estimates the prefill and decode speed of an engine.
 
 The linear split into prefill and decode follows eq. (1) and (7) of the
-E3-Agent paper (Research Paper, 2025, section 3.4); docs/design/paper.md lists
-the measurements and the parts that were left out.
+E3-Agent paper (Research Paper, 2025, section 3.4). Other parts of that paper
+are not implemented.
 """
 
 import collections
--- a/src/_coltsfootroad/core/shedding.py
+++ b/src/_coltsfootroad/core/shedding.py
@@ -15,9 +15,9 @@
 # Longer prompts are never shed: they are few, and a late start costs their
 # callers less than a retry.
 MAX_SHEDDABLE_TOKENS = 30_000
-# Late waiting requests, as a share of all batch slots, above which a first try
-# or a retry is shed. Callers do not retry twice, so retries have the higher
-# threshold.
+# Late waiting requests, as a share of all batch slots, above which a first
+# attempt or a retry is shed. Callers do not retry twice, so retries have the
+# higher threshold.
 FIRST_TRY_SHARE = 0.15
 RETRY_SHARE = 0.3
 # Range of the retry delay in seconds, drawn at random so that callers do not
--- a/src/_coltsfootroad/core/startuplimit.py
+++ b/src/_coltsfootroad/core/startuplimit.py
@@ -3,8 +3,8 @@
 When a whole fleet starts at once, each of dozens of gateways holds requests and
 sees the first announced engines as idle. Together they would send several times
 the prompts that the engines have batch slots for, and the excess would wait for
-whole answers or until the caller disconnects. Each gateway therefore fills only
-its share of the known slots until it knows the load of the other gateways.
+complete answers or until the caller disconnects. Each gateway therefore fills
+only its share of the known slots until it knows the load of the other gateways.
 """
 
 # Share of the known batch slots that all gateways together fill. Gateways
--- a/src/_coltsfootroad/core/syncing.py
+++ b/src/_coltsfootroad/core/syncing.py
@@ -79,7 +79,7 @@
         """Request an early heartbeat, at a limited rate.
 
         Otherwise a leader that cannot grant shares yet would get a heartbeat
-        after every answer, hundreds a second after each failover.
+        after every reply, hundreds a second after each failover.
         """
         if now - self.early_heartbeat_at >= MIN_EARLY_HEARTBEAT_GAP_S:
             self.early_heartbeat_at = now
@@ -120,7 +120,7 @@
         self.core.dispatch_all_queued(now)
 
     def adopt_config(self, update: messages.ConfigUpdate | None) -> bool:
-        """Apply an update; return whether the newest version is in force."""
+        """Apply an update; return whether the newest version is in use."""
         if update is None:
             return True
         freshness = self.core.freshness
