--- a/src/_coltsfootroad/control/votermonitor.py
+++ b/src/_coltsfootroad/control/votermonitor.py
@@ -57,11 +57,11 @@
         }
 
     def contact_ages(self, now: float) -> dict[str, float]:
-        """Return the seconds since the last message of each, inf for none."""
+        """Return the seconds since each replica's last message, or inf."""
         raft = self.raft
-        never = float("-inf")
+        no_contact_at = float("-inf")
         return {
-            i: now - raft.last_contact_at.get(i, never)
+            i: now - raft.last_contact_at.get(i, no_contact_at)
             for i in raft.peer_identities()
         }
 
--- a/src/_coltsfootroad/core/entry.py
+++ b/src/_coltsfootroad/core/entry.py
@@ -435,8 +435,8 @@
                 self.attempts.fail(flight, refusal, now)
                 return
         if not pool.serving_count():
-            empty_s = now - max(pool.emptied_at, flight.request.arrived_at)
-            if empty_s >= NO_ENDPOINT_TIMEOUT_S:
+            empty_for_s = now - max(pool.emptied_at, flight.request.arrived_at)
+            if empty_for_s >= NO_ENDPOINT_TIMEOUT_S:
                 self.attempts.fail(
                     flight, attempts_lib.no_endpoint(flight), now
                 )
--- a/src/_coltsfootroad/core/fairqueue.py
+++ b/src/_coltsfootroad/core/fairqueue.py
@@ -87,8 +87,8 @@
         order = [b for b in range(lengths.BAND_COUNT) if self.lanes[b]]
         if len(order) < 2:
             return order
-        owed = self.cheapest_head(order[1])
-        if owed is not None and self.long_credit >= owed:
+        needed_credit = self.cheapest_head(order[1])
+        if needed_credit is not None and self.long_credit >= needed_credit:
             return order[1:] + order[:1]
         return order
 
--- a/src/_coltsfootroad/core/interfaces.py
+++ b/src/_coltsfootroad/core/interfaces.py
@@ -102,7 +102,7 @@
 
     @abc.abstractmethod
     def request_heartbeat(self, now: float) -> None:
-        """Request that the next heartbeat is sent early."""
+        """Request that the next heartbeat be sent early."""
 
 
 class RosterInterface(abc.ABC):
--- a/src/_coltsfootroad/core/loadindex.py
+++ b/src/_coltsfootroad/core/loadindex.py
@@ -1,8 +1,8 @@
 """Index of the work by endpoint, updated with each change.
 
-Hundreds of gateways report thousands of work items, and each choice reads
-a few endpoints only. A choice never iterates over the whole index, so its cost
-does not grow with the fleet.
+Hundreds of gateways report thousands of work items, and each choice reads a few
+endpoints only. A choice never iterates over the entire index, so its cost does
+not grow with the fleet.
 """
 
 import attrs
--- a/src/_coltsfootroad/core/releases.py
+++ b/src/_coltsfootroad/core/releases.py
@@ -46,8 +46,8 @@
         if work is not None:
             work.cancels += 1
             pause_s *= 2 ** (work.cancels - 1)
-        again_at = now + min(pause_s, MAX_CANCEL_RETRY_S)
-        self.pending[endpoint, key] = again_at
+        retry_at = now + min(pause_s, MAX_CANCEL_RETRY_S)
+        self.pending[endpoint, key] = retry_at
         return actions.Cancel(
             endpoint=endpoint, request_id=key[0], attempt=key[1]
         )
@@ -58,7 +58,7 @@
         self.orphaned.discard((endpoint, key))
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Stop cancels at an endpoint that ended, and with it its memory."""
+        """Stop cancels at an endpoint that has ended and so holds nothing."""
         for item in [i for i in self.pending if i[0] == endpoint]:
             self.confirmed(*item)
 
--- a/src/_coltsfootroad/core/routeview.py
+++ b/src/_coltsfootroad/core/routeview.py
@@ -12,10 +12,10 @@
 
 @attrs.define
 class RouteView:
-    """One version of the routes; never goes back within a process.
+    """The routes in use, whose version never decreases within a process.
 
     Times are of the boot clock, which includes suspension: a vm that resumes
-    after a pause finds its proof too old at once.
+    after a pause detects at once that its proof has expired.
 
     Attributes:
         staleness_bound_s: Age from which the proof is no longer valid.
--- a/src/_coltsfootroad/core/stream.py
+++ b/src/_coltsfootroad/core/stream.py
@@ -5,7 +5,7 @@
 from _coltsfootroad.core import request as request_lib
 
 # Chunks buffered behind a gap. An engine with longer gaps is considered faulty.
-MAX_HELD = 256
+MAX_BUFFERED_CHUNKS = 256
 
 
 @attrs.define
@@ -35,7 +35,7 @@
             return []
         if chunk.offset < self.next_offset:
             return []
-        if len(self.held) >= MAX_HELD:
+        if len(self.held) >= MAX_BUFFERED_CHUNKS:
             self.overflow = True
             return []
         self.held[chunk.offset] = chunk
