--- a/src/_coltsfootroad/core/engineplacement.py
+++ b/src/_coltsfootroad/core/engineplacement.py
@@ -150,22 +150,22 @@
     helpers = heapq.nsmallest(
         parts - 1,
         (
-            place
-            for place, state in enumerate(states)
-            if place != first and state.helper_parts < spec.slots
+            index
+            for index, state in enumerate(states)
+            if index != first and state.helper_parts < spec.slots
         ),
         key=prefill_costs.__getitem__,
     )
     if len(helpers) < parts - 1:
         return None
     lead = states[first]
-    others = [states[place] for place in helpers]
+    others = [states[index] for index in helpers]
     tickets = allocate_memory(prompt, lead, others, spec)
     if tickets is None:
         return None
     chosen = [lead, *others]
     first_event_s = max(predict_first_event_s(s, spec, part_s) for s in chosen)
-    cost = lead_costs[first] + sum(prefill_costs[place] for place in helpers)
+    cost = lead_costs[first] + sum(prefill_costs[index] for index in helpers)
     cost += prompt.value * miss_likelihood(first_event_s, prompt.target_s)
     return Placement(
         lead=lead.endpoint,
