--- a/src/_coltsfootroad/control/reads.py
+++ b/src/_coltsfootroad/control/reads.py
@@ -42,14 +42,14 @@
     )
     if near:
         return watching.AskElsewhere(relays=near)
-    news = node.coordinator.on_watch(message, now)
-    return attrs.evolve(news, replicas=node.replica_addresses())
+    response = node.coordinator.on_watch(message, now)
+    return attrs.evolve(response, replicas=node.replica_addresses())
 
 
 def on_relay_watch(node, message: watching.RelayWatch, now: float) -> object:
     """Handle the watch of a relay."""
-    news = node.coordinator.on_relay_watch(message, now)
-    return attrs.evolve(news, replicas=node.replica_addresses())
+    response = node.coordinator.on_relay_watch(message, now)
+    return attrs.evolve(response, replicas=node.replica_addresses())
 
 
 def on_announce(node, message: messages.Announce, now: float) -> object:
@@ -61,7 +61,7 @@
 
 
 def read_routes(node, _: messages.ReadRoutes, __: float) -> object:
-    """Return the route configuration in force, as its source document."""
+    """Return the current route configuration as its source document."""
     routes = node.state.routes
     return messages.RoutesCopy(version=routes.version, source=routes.source)
 
@@ -92,7 +92,7 @@
 
 
 def take_snapshot(node, _: messages.TakeSnapshot, __: float) -> object:
-    """Return a snapshot of the whole state."""
+    """Return a snapshot of the complete state."""
     return messages.SnapshotCopy(
         index=node.raft.applied, data=state_lib.save(node.state)
     )
--- a/src/_coltsfootroad/core/engineplacement.py
+++ b/src/_coltsfootroad/core/engineplacement.py
@@ -35,11 +35,11 @@
 IDLE_ENGINE_COST = 0.2
 # Cost of each part, so that ties go to fewer parts.
 PART_COST = 0.01
-# Cost of a request over the batch, which waits for a whole answer.
+# Cost of a request over the batch, which waits for a complete answer.
 FULL_BATCH_COST = 3.0
 # Cost of the last slot of a batch: another gateway may use it in the
 # milliseconds until it learns of this choice, and one of the two requests then
-# waits for a whole answer.
+# waits for a complete answer.
 LAST_SLOT_COST = 0.05
 # Cost of each request that is queued on an engine, so that late requests are
 # spread over the engines.
@@ -150,22 +150,22 @@
     helpers = heapq.nsmallest(
         parts - 1,
         (
-            place
-            for place, state in enumerate(states)
-            if place != first and state.helper_parts < spec.slots
+            index
+            for index, state in enumerate(states)
+            if index != first and state.helper_parts < spec.slots
         ),
         key=prefill_costs.__getitem__,
     )
     if len(helpers) < parts - 1:
         return None
     lead = states[first]
-    others = [states[place] for place in helpers]
+    others = [states[index] for index in helpers]
     tickets = allocate_memory(prompt, lead, others, spec)
     if tickets is None:
         return None
     chosen = [lead, *others]
     first_event_s = max(predict_first_event_s(s, spec, part_s) for s in chosen)
-    cost = lead_costs[first] + sum(prefill_costs[place] for place in helpers)
+    cost = lead_costs[first] + sum(prefill_costs[index] for index in helpers)
     cost += prompt.value * miss_likelihood(first_event_s, prompt.target_s)
     return Placement(
         lead=lead.endpoint,
@@ -185,7 +185,7 @@
     """Return the helpers, with tokens, that hold what `lead` cannot.
 
     Returns None if they cannot hold all of it. Returns an empty tuple if the
-    whole KV cache fits into the total memory of `lead`, which frees its own
+    entire KV cache fits into the total memory of `lead`, which frees its own
     memory by itself.
     """
     needed = prompt.prompt_tokens + prompt.output_tokens
--- a/src/_coltsfootroad/core/entry.py
+++ b/src/_coltsfootroad/core/entry.py
@@ -97,7 +97,7 @@
 
     @property
     def config(self) -> config_lib.Config:
-        """Return the configuration in force."""
+        """Return the current configuration."""
         return self.freshness.config
 
     def flush(self) -> list[actions.Action]:
@@ -265,7 +265,7 @@
     ) -> list[actions.Action]:
         """Handle an announcement that an endpoint sent to this entry."""
         self.syncing.announced[announcement.endpoint] = announcement
-        self.roster.take_announcement(announcement, now)
+        self.roster.apply_announcement(announcement, now)
         return self.flush()
 
     def on_load(
@@ -273,7 +273,7 @@
     ) -> list[actions.Action]:
         """Handle a load report that an endpoint sent to this entry."""
         self.syncing.reported[report.endpoint] = report
-        self.roster.take_load(report, now)
+        self.roster.apply_load_report(report, now)
         return self.flush()
 
     def on_cache_event(
@@ -435,8 +435,8 @@
                 self.attempts.fail(flight, refusal, now)
                 return
         if not pool.serving_count():
-            empty_s = now - max(pool.emptied_at, flight.request.arrived_at)
-            if empty_s >= NO_ENDPOINT_TIMEOUT_S:
+            empty_for_s = now - max(pool.emptied_at, flight.request.arrived_at)
+            if empty_for_s >= NO_ENDPOINT_TIMEOUT_S:
                 self.attempts.fail(
                     flight, attempts_lib.no_endpoint(flight), now
                 )
--- a/src/_coltsfootroad/core/fanout.py
+++ b/src/_coltsfootroad/core/fanout.py
@@ -28,15 +28,18 @@
 
 
 def deliveries(
-    receivers: Iterable[addresses.Member], sender: str, zone: str, turn: int
+    receivers: Iterable[addresses.Member],
+    sender: str,
+    zone: str,
+    fanout_round: int,
 ) -> list[Delivery]:
     """Return the copies of a message of a `sender` in `zone` to all receivers.
 
-    Each `turn` selects other forwarding gateways, so that a frozen or
-    partitioned one hides a sender from its zone for one turn only.
+    Each `fanout_round` selects other forwarding gateways, so that a frozen or
+    partitioned one hides a sender from its zone for one round only.
     """
     found = []
-    key = f"{FANOUT_KEY}/{sender}/{turn}"
+    key = f"{FANOUT_KEY}/{sender}/{fanout_round}"
     for receiver_zone, members in group_by_zone(receivers).items():
         if receiver_zone == zone or len(members) == 1:
             found += [Delivery(member) for member in members]
--- a/src/_coltsfootroad/core/interfaces.py
+++ b/src/_coltsfootroad/core/interfaces.py
@@ -102,20 +102,22 @@
 
     @abc.abstractmethod
     def request_heartbeat(self, now: float) -> None:
-        """Request that the next heartbeat is sent early."""
+        """Request that the next heartbeat be sent early."""
 
 
 class RosterInterface(abc.ABC):
     """Tracks endpoints by announcements and load reports."""
 
     @abc.abstractmethod
-    def take_announcement(
+    def apply_announcement(
         self, announcement: registry.Announcement, now: float
     ) -> None:
         """Update the view of an endpoint unless a newer one is known."""
 
     @abc.abstractmethod
-    def take_load(self, report: endpoints.LoadReport, now: float) -> None:
+    def apply_load_report(
+        self, report: endpoints.LoadReport, now: float
+    ) -> None:
         """Handle an endpoint's load report."""
 
     @abc.abstractmethod
@@ -169,7 +171,7 @@
     @property
     @abc.abstractmethod
     def config(self) -> config_lib.Config:
-        """Return the configuration in force."""
+        """Return the current configuration."""
 
     @abc.abstractmethod
     def output_share(self, service: str) -> admission.OutputShare:
--- a/src/_coltsfootroad/core/routeview.py
+++ b/src/_coltsfootroad/core/routeview.py
@@ -1,4 +1,4 @@
-"""The routes in force at a gateway and the proof that they are current."""
+"""The routes in use at a gateway and the proof that they are current."""
 
 import attrs
 
@@ -12,10 +12,10 @@
 
 @attrs.define
 class RouteView:
-    """One version of the routes; never goes back within a process.
+    """The routes in use, whose version never decreases within a process.
 
     Times are of the boot clock, which includes suspension: a vm that resumes
-    after a pause finds its proof too old at once.
+    after a pause detects at once that its proof has expired.
 
     Attributes:
         staleness_bound_s: Age from which the proof is no longer valid.
@@ -38,17 +38,17 @@
 
     @property
     def config(self) -> routes.RouteConfig | None:
-        """Return the routes in force."""
+        """Return the routes in use."""
         return None if self.table is None else self.table.config
 
     @property
     def version(self) -> int:
-        """Return the version in force, `NO_VERSION` for none."""
+        """Return the version in use, `NO_VERSION` for none."""
         config = self.config
         return routes.NO_VERSION if config is None else config.version
 
     def adopt(self, config: routes.RouteConfig) -> bool:
-        """Put a version in force if it is higher than the present one."""
+        """Apply a version if it is higher; return whether it was applied."""
         if config.version <= self.version:
             return False
         self.table = routes.RouteTable(config)
