--- a/features/control/claims.feature
+++ b/features/control/claims.feature
@@ -1,4 +1,4 @@
-Feature: A claim is forgotten only when its key cannot be admitted
+Feature: A claim is removed only once its key would be refused as expired
 
   Scenario Outline: A key created <age> s before its request is <status>
     When a claim on a key of age <age> is taken
@@ -12,10 +12,10 @@
       | -200   | granted     |
       | -400   | key_expired |
 
-  Scenario: Memory of old claims is freed
+  Scenario: Expired claims are removed from memory
     When 500 claims are taken and two days pass
-    Then no claim is kept, and the old key is "key_expired"
+    Then no claim is kept, and the expired key is "key_expired"
 
-  Scenario: An answer above the size limit is dropped, its claim stays
-    When a claim is settled with an answer of 300000 bytes
-    Then a resend is told "not_stored"
+  Scenario: A response above the size limit is dropped, its claim is kept
+    When a claim is settled with a response of 300000 bytes
+    Then a retry with the same key gets the status "not_stored"
--- a/features/control/shares.feature
+++ b/features/control/shares.feature
@@ -1,12 +1,12 @@
-Feature: Leased shares never exceed the workspace's limit
+Feature: The sum of leased shares never exceeds the workspace's limit
 
-  Scenario: A share follows demand only after the old grant has ended
+  Scenario: A share is reassigned only after its previous grant has expired
     Given entries "a" and "b" and a limit of 100 requests
-    When "a" wants 200 and "b" wants 0 at 10 s
-    And "b" wants 200 and "a" is silent at 11 s
-    Then "b" holds what "a" does not, and at 17 s nearly everything
+    When "a" requests 200 and "b" requests 0 at 10 s
+    And "b" requests 200 and "a" sends nothing at 11 s
+    Then "a" and "b" hold at most 100, and "b" at least 80 at 17 s
 
-  Scenario: A new leader renews only what entries hold
+  Scenario: A new leader renews only the shares that entries hold
     Given entries "a" and "b" and a limit of 100 requests
-    When "a" holds 60 and wants 200 at 1 s
-    Then "a" is given 60
+    When "a" holds 60 and requests 200 at 1 s
+    Then "a" is granted 60
--- a/features/core/bounds.feature
+++ b/features/core/bounds.feature
@@ -31,14 +31,14 @@
     Then the help names "<words>"
 
     Examples:
-      | program          | words           |
-      | colts-ctl        | config patch    |
-      | colts-ctl        | --base          |
-      | colts-gateway    | passes requests |
-      | colts-control    | bootstrap       |
-      | colts-entry      | --settings      |
-      | colts-standalone | --settings      |
-      | colts-replay     | --settings      |
+      | program          | words             |
+      | colts-ctl        | config patch      |
+      | colts-ctl        | --base            |
+      | colts-gateway    | forwards requests |
+      | colts-control    | bootstrap         |
+      | colts-entry      | --settings        |
+      | colts-standalone | --settings        |
+      | colts-replay     | --settings        |
 
   Scenario: Connecting to an endpoint that accepts no connections times out
     Given an endpoint whose accept queue is full
--- a/features/core/config.feature
+++ b/features/core/config.feature
@@ -2,7 +2,7 @@
 
   Scenario Outline: <document> is rejected
     When the configuration <document> is parsed
-    Then it is refused with words "<words>"
+    Then it is refused with a message that contains "<words>"
 
     Examples:
       | document                                      | words                                  |
--- a/features/core/lengths.feature
+++ b/features/core/lengths.feature
@@ -1,8 +1,8 @@
 Feature: Length bands adapt to the arrivals
 
-  Scenario Outline: The short border is the clamped 0.8 quantile
+  Scenario Outline: The short band ends at the clamped 0.8 quantile
     Given 256 arrivals of <short> tokens and <long_count> of <long> tokens
-    Then the short border is <border>
+    Then the upper limit of the short band is <border>
     And a prompt of <tokens> tokens is in band <band>
 
     Examples:
--- a/features/core/prefixes.feature
+++ b/features/core/prefixes.feature
@@ -1,4 +1,4 @@
-Feature: The prefix index claims no block that may have been evicted
+Feature: The prefix index omits blocks that may have been evicted
 
   Scenario Outline: <case>
     Given an engine whose events <events> have been applied
@@ -9,7 +9,7 @@
       | case                         | events             | seconds | share |
       | stored blocks count          | 1:+a+b             | 1       | 1.0   |
       | an evicted block is dropped  | 1:+a+b 2:-b        | 1       | 0.5   |
-      | the prefix ends at a hole    | 1:+b               | 1       | 0.0   |
-      | a gap drops all blocks       | 1:+a+b 3:+c        | 1       | 0.0   |
+      | a missing block ends a prefix | 1:+b               | 1       | 0.0   |
+      | a lost event drops all      | 1:+a+b 3:+c        | 1       | 0.0   |
       | a late event has no effect   | 1:+a 2:+b 1:-a     | 1       | 1.0   |
       | blocks expire                | 1:+a+b             | 301     | 0.0   |
--- a/features/gateway/parts.feature
+++ b/features/gateway/parts.feature
@@ -121,14 +121,14 @@
 
     Examples:
       | kind        | count | state   |
-      | unreachable | 1     | resting |
+      | unreachable | 1     | ejected |
       | lost        | 1     | used    |
-      | lost        | 2     | resting |
+      | lost        | 2     | ejected |
 
   Scenario Outline: The state that is kept about endpoints is bounded
     Then <what> stays at or below <most>
 
     Examples:
-      | what                                  | most |
-      | the ejection time after 30 failures in a row   | 5    |
-      | the number of gone endpoints of 9000  | 4096 |
+      | what                                         | most |
+      | the ejection time after 30 failures in a row | 5    |
+      | the number of gone endpoints of 9000         | 4096 |
--- a/features/gateway/spread.feature
+++ b/features/gateway/spread.feature
@@ -45,7 +45,7 @@
   Scenario: A prompt that exceeds one engine's memory is held by several
     Given engines that decode 2 2 0 0 0 0 short streams
     When a million prompt is placed
-    Then tickets and the lead engine hold all memory of the prompt
+    Then reservations and the lead engine hold all memory of the prompt
 
   Scenario: Prompts at one engine are prefilled one after the other
     Given an engine that was sent 3 prompts of 210000 tokens 2 s ago
@@ -62,19 +62,19 @@
     And the first event at 10 streams is at least 0.7 s later than at 7
 
   Scenario Outline: At a full engine, requests that can meet their target go first
-    Then a request with target <aim> s that waited <waited> s ranks <rank>
+    Then a request with target <target> s that waited <waited> s ranks <rank>
 
     Examples:
-      | aim | waited | rank |
-      | 0.3 | 0.0    | 1    |
-      | 0.3 | 0.3    | 4    |
-      | 1.5 | 0.3    | 2    |
-      | 3.0 | 0.3    | 3    |
-      | 3.0 | 3.0    | 4    |
+      | target | waited | rank |
+      | 0.3    | 0.0    | 1    |
+      | 0.3    | 0.3    | 4    |
+      | 1.5    | 0.3    | 2    |
+      | 3.0    | 0.3    | 3    |
+      | 3.0    | 3.0    | 4    |
 
   Scenario Outline: Further prefill beyond the gap target of a prompt counts as a loss
     Given an engine that prefills a prompt with a gap target of <gap> s
-    Then further prefill for <extra> s loses <lost>
+    Then further prefill of <extra> s loses a value of <lost>
 
     Examples:
       | gap | extra | lost  |
@@ -83,7 +83,7 @@
       | 0.2 | 0.2   | 22    |
 
   Scenario Outline: Late requests do not delay requests that can meet their target
-    Given an engine with <writing> streams and <late> late requests that wait
+    Given an engine with <writing> streams and <late> queued late requests
     Then a short prompt's first event is predicted <when> its target
 
     Examples:
@@ -93,22 +93,22 @@
       | 8       | 0    | after  |
 
   Scenario Outline: A short prompt is shed when a queue makes it late
-    When a <size> prompt that <state> is predicted after <predicted> s
+    When a prompt of <size> tokens on its <attempt> is predicted after <predicted> s
     And <waiting> late requests wait for 100 batch slots
-    Then the short prompt is <verdict>
+    Then the prompt is <verdict>
 
     Examples:
-      | size   | state               | predicted | waiting | verdict   |
-      | 5000   | comes first         | 0.2       | 50      | sent      |
-      | 5000   | comes first         | 0.5       | 15      | sent      |
-      | 5000   | comes first         | 0.5       | 16      | sent away |
-      | 5000   | comes back          | 0.5       | 30      | sent      |
-      | 5000   | comes back          | 0.5       | 31      | sent away |
-      | 210000 | comes first         | 9.0       | 50      | sent      |
+      | size   | attempt       | predicted | waiting | verdict |
+      | 5000   | first attempt | 0.2       | 50      | sent    |
+      | 5000   | first attempt | 0.5       | 15      | sent    |
+      | 5000   | first attempt | 0.5       | 16      | shed    |
+      | 5000   | retry         | 0.5       | 30      | sent    |
+      | 5000   | retry         | 0.5       | 31      | shed    |
+      | 210000 | first attempt | 9.0       | 50      | sent    |
 
   Scenario Outline: Gain with a mix whose prompt lengths vary over time
     Given the load "<load>" of seeds 0 and 1
-    Then the gain is at least <whole> in all and <short> for short prompts
+    Then the gain is at least <whole> overall and <short> for short prompts
 
     Examples:
       | load       | whole | short |
--- a/features/replay/replay.feature
+++ b/features/replay/replay.feature
@@ -2,7 +2,7 @@
 
   Scenario Outline: <trace> under <policy>
     When the trace "<trace>" is replayed under <policy>
-    Then its stated outcomes are met
+    Then its expected outcomes are met
 
     Examples:
       | trace                        | policy           |
@@ -19,12 +19,12 @@
       | lavared-month-end            | short_slowdown   |
 
   Scenario: An expected outcome that is not met is reported
-    When the trace "lavared-month-end" states a slowdown of at most 1.1 for round_robin
+    When the trace "lavared-month-end" expects a slowdown of at most 1.1 for round_robin
     Then replaying it reports "short_slowdown_p95 is"
 
   Scenario Outline: The invalid trace line <line> is refused
-    When a trace holds the line <line>
-    Then reading it says "line 2" and "<words>"
+    When a trace contains the line <line>
+    Then reading it fails with "line 2" and "<words>"
 
     Examples:
       | line                                     | words                        |
--- a/features/steps/batchengine_steps.py
+++ b/features/steps/batchengine_steps.py
@@ -30,7 +30,7 @@
 
 
 @given(
-    "an engine that has {parts:d} parts of a prompt of {tokens:d} tokens to read"
+    "an engine with {parts:d} parts of a prompt of {tokens:d} tokens to prefill"
 )
 def engine_with_prompt(context, parts, tokens):
     context.engine = batchengine.BatchEngine(SPEC)
@@ -40,14 +40,16 @@
     context.job.pending_parts = 1
 
 
-@then("its first event comes after {least:g} to {most:g} s")
-def first_event(context, least, most):
+@then("its first event is sent after {least:g} to {most:g} s")
+def check_first_event(context, least, most):
     run_until(context.engine, lambda: context.job.event_times)
     found = context.job.event_times[0]
     assert least <= found <= most, found
 
 
-@given("an engine that writes a stream and gets a prompt of {tokens:d} tokens")
+@given(
+    "an engine that decodes a stream and receives a prompt of {tokens:d} tokens"
+)
 def engine_with_stream(context, tokens):
     context.engine = batchengine.BatchEngine(SPEC)
     context.job = batchengine.Job(2_500, 4_600)
@@ -56,8 +58,8 @@
     context.engine.submit(batchengine.Job(tokens, 46), 1)
 
 
-@then("the stream's longest pause is {least:g} to {most:g} s")
-def longest_pause(context, least, most):
+@then("the stream's longest gap between events is {least:g} to {most:g} s")
+def check_longest_gap(context, least, most):
     now = context.job.event_times[-1]
     while not context.job.done:
         now = context.engine.run_pass(now)
@@ -65,22 +67,22 @@
     assert least <= found <= most, found
 
 
-@given("an engine that reads a prompt of {tokens:d} tokens")
-def engine_reads(context, tokens):
+@given("an engine that prefills a prompt of {tokens:d} tokens")
+def engine_with_prefill(context, tokens):
     context.engine = batchengine.BatchEngine(SPEC)
     context.job = batchengine.Job(tokens, 46)
     context.engine.submit(context.job, 1)
     context.engine.run_pass(0.0)
 
 
-@when("a part of another prompt comes")
-def part_comes(context):
+@when("a part of another prompt arrives")
+def submit_part(context):
     context.other = batchengine.Job(45_000, 46, pending_parts=2)
     context.engine.submit_part(context.other, 2)
 
 
-@then("the part is read before it")
-def part_first(context):
+@then("the part is prefilled first")
+def check_part_first(context):
     run_until(context.engine, lambda: context.other.pending_parts == 1)
     assert context.job.pending_parts == 1
 
@@ -96,14 +98,14 @@
     context.engine.run_pass(0.0)
 
 
-@when("one more request comes")
-def one_more(context):
+@when("one more request arrives")
+def submit_one_more(context):
     context.job = batchengine.Job(2_500, 460)
     context.engine.submit(context.job, 1)
 
 
-@then("its first event comes after the first of them has ended")
-def after_first(context):
+@then("its first event is sent after one of the streams has ended")
+def check_sent_after_first_end(context):
     run_until(context.engine, lambda: context.job.event_times)
     ended = min(job.event_times[-1] for job in context.jobs if job.done)
     assert context.job.event_times[0] > ended
@@ -121,21 +123,19 @@
 
 
 @given("an engine that prefills a prompt with a gap target of {gap:g} s")
-def engine_reading(context, gap):
-    reading = work(prompt_tokens=210_000, gap_target_s=gap, value=LONG_VALUE)
-    context.state = enginestate.engine_state("e0", [reading], SPEC, 0.0)
+def engine_with_gap_target(context, gap):
+    prefill = work(prompt_tokens=210_000, gap_target_s=gap, value=LONG_VALUE)
+    context.state = enginestate.engine_state("e0", [prefill], SPEC, 0.0)
 
 
-@then("further prefill for {extra:g} s loses {lost:g}")
-def loses(context, extra, lost):
+@then("further prefill of {extra:g} s loses a value of {lost:g}")
+def check_value_lost(context, extra, lost):
     found = context.state.value_lost_by(extra)
     assert found == lost, found
 
 
-@given(
-    "an engine with {writing:d} streams and {late:d} late requests that wait"
-)
-def engine_with_late(context, writing, late):
+@given("an engine with {writing:d} streams and {late:d} queued late requests")
+def engine_with_late_requests(context, writing, late):
     works = [work(writing=True, gap_target_s=0.2) for _ in range(writing)]
     # Sent long ago, so that no prefill remains for them.
     works += [work(late=True, sent_at=-60.0) for _ in range(late)]
@@ -143,7 +143,7 @@
 
 
 @then("a short prompt's first event is predicted {when_} its target")
-def predicted_within(context, when_):
+def check_prediction(context, when_):
     prompt = engineplacement.Prompt(
         prompt_tokens=5_000, output_tokens=1_600, target_s=0.3, gap_target_s=0.2
     )
@@ -151,28 +151,32 @@
     assert (found.first_event_s <= 0.3) == (when_ == "within"), found
 
 
-@when("a {size:d} prompt that {state} is predicted after {predicted:g} s")
-def prompt_comes(context, size, state, predicted):
+@when(
+    "a prompt of {size:d} tokens on its {attempt} is predicted after {predicted:g} s"
+)
+def create_candidate(context, size, attempt, predicted):
     context.candidate = shedding.Candidate(
         prompt_tokens=size,
         predicted_s=predicted,
         target_s=0.3,
-        is_retry=state == "comes back",
+        is_retry=attempt == "retry",
     )
 
 
-@when("{waiting:d} late requests wait for {places:d} batch slots")
-def late_wait(context, waiting, places):
-    context.again_s = shedding.shed_retry_after_s(
-        context.candidate, waiting, places, random.Random(1)
+@when("{waiting:d} late requests wait for {slots:d} batch slots")
+def shed_or_send(context, waiting, slots):
+    context.retry_after_s = shedding.shed_retry_after_s(
+        context.candidate, waiting, slots, random.Random(1)
     )
 
 
-@then("the short prompt is {verdict}")
-def verdict_is(context, verdict):
-    assert (context.again_s is not None) == (verdict == "sent away")
+@then("the prompt is {verdict}")
+def check_verdict(context, verdict):
+    assert (context.retry_after_s is not None) == (verdict == "shed")
     least, most = shedding.RETRY_AFTER_RANGE_S
-    assert context.again_s is None or least <= context.again_s <= most
+    assert (
+        context.retry_after_s is None or least <= context.retry_after_s <= most
+    )
 
 
 @given('the load "{name}" of seeds 0 and 1')
@@ -182,7 +186,7 @@
 
 @given('the load "{name}" of seeds 0 and 1 at {gateways:d} gateways')
 def load_at(context, name, gateways):
-    (load,) = [one for one in mixes.ALL_LOADS if one.name == name]
+    (load,) = [load for load in mixes.ALL_LOADS if load.name == name]
     context.gains = placement.gains(load, 2, gateways=gateways)
     context.load = load
 
@@ -191,14 +195,14 @@
     "the gain is within {most:g} of the gain with one gateway that"
     " knows all work"
 )
-def near_full_knowledge(context, most):
+def check_near_full_knowledge(context, most):
     best = placement.gains(context.load, 2)
     for name in ("whole", "short"):
         assert context.gains[name] >= best[name] - most, (best, context.gains)
 
 
-@then("the gain is at least {whole:g} in all and {short:g} for short prompts")
-def callers_gain(context, whole, short):
+@then("the gain is at least {whole:g} overall and {short:g} for short prompts")
+def check_gain(context, whole, short):
     found = context.gains
     assert found["whole"] >= whole, found
     assert found["short"] >= short, found
--- a/features/steps/faultydisk_steps.py
+++ b/features/steps/faultydisk_steps.py
@@ -35,14 +35,14 @@
     assert words in context.result.error.message
 
 
-@then("no part of it is left on the disk")
+@then("no file of the snapshot is left on the disk")
 def no_part_left(context):
     names = sorted(path.name for path in context.disk.folder.iterdir())
     left = [n for n in names if n.endswith(".tmp") or n.startswith("snapshot")]
     assert not left, names
 
 
-@given("a replica whose log is due for a snapshot and whose disk has no room")
+@given("a replica whose log is due for a snapshot and whose disk is full")
 def due_for_snapshot(context):
     site = context.site = replacements.Site(random.Random(6))
     site.begin()
@@ -59,12 +59,12 @@
     )
 
 
-@when("it goes on for {seconds:g} s")
+@when("it runs for {seconds:g} s")
 def runs_for(context, seconds):
     with context.patches[0], context.patches[1]:
         context.site.run_until(context.site.now + seconds)
 
 
-@then("it tries to save one at most {most:d} times")
+@then("it tries to save a snapshot at most {most:d} times")
 def tries_at_most(context, most):
     assert 2 <= len(context.refused) <= most, len(context.refused)
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -491,7 +491,7 @@
     assert context.placement.first_event_s <= seconds, context.placement
 
 
-@then("tickets and the lead engine hold all memory of the prompt")
+@then("reservations and the lead engine hold all memory of the prompt")
 def memory_held(context):
     held = sum(tokens for _, tokens in context.placement.tickets)
     rest = context.prompt.prompt_tokens + context.prompt.output_tokens - held
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -45,7 +45,7 @@
         context.bands.observe(short)
 
 
-@then("the short border is {border:d}")
+@then("the upper limit of the short band is {border:d}")
 def check_short_border(context, border):
     assert context.bands.short_border == border, context.bands.short_border
 
@@ -94,7 +94,7 @@
         context.dispatched_tokens[chosen.workspace] += chosen.cost_tokens
 
 
-@then('"big" and "small" have got about the same')
+@then('"big" and "small" have received equal tokens within 1000')
 def check_same_tokens(context):
     assert (
         abs(
@@ -105,7 +105,7 @@
     )
 
 
-@then('"big" has got about {times:d} times what "small" has')
+@then('"big" has received about {times:d} times the tokens of "small"')
 def check_ratio(context, times):
     ratio = (
         context.dispatched_tokens["big"] / context.dispatched_tokens["small"]
@@ -113,7 +113,9 @@
     assert abs(ratio - times) < 0.5, ratio
 
 
-@given("{a:d} long prompt of {x:d} tokens and {b:d} short ones of {y:d} wait")
+@given(
+    "{a:d} long prompt of {x:d} tokens and {b:d} short prompts of {y:d} are queued"
+)
 def queue_long_and_short(context, a, x, b, y):
     context.queue = fairqueue.FairQueue()
     for number in range(a):
@@ -122,8 +124,8 @@
         context.queue.push(prompt(f"short{number}", "w", y), 0)
 
 
-@then("the long prompt is dispatched after {count:d} short ones")
-def check_long_turn(context, count):
+@then("the long prompt is dispatched after {count:d} short prompts")
+def check_long_dispatch(context, count):
     for number in range(count + 1):
         chosen = context.queue.select(lambda _: True)
         context.queue.on_dispatched(chosen, 1)
@@ -144,7 +146,7 @@
     context.result = config_lib.parse(json.loads(document))
 
 
-@then('it is refused with words "{words}"')
+@then('it is refused with a message that contains "{words}"')
 def check_refusal(context, words):
     assert context.result.is_error()
     assert words in context.result.error.message, context.result.error
@@ -228,32 +230,32 @@
     context.granted[entry] = granted[0].concurrency if granted else 0
 
 
-@when('"a" wants 200 and "b" wants 0 at {now:d} s')
+@when('"a" requests 200 and "b" requests 0 at {now:d} s')
 def request_for_a(context, now):
     send_heartbeat(context, "a", 200, float(now))
     assert context.granted["a"] >= 80, context.granted
 
 
-@when('"b" wants 200 and "a" is silent at {now:d} s')
+@when('"b" requests 200 and "a" sends nothing at {now:d} s')
 def request_for_b(context, now):
     send_heartbeat(context, "b", 200, float(now))
 
 
-@then('"b" holds what "a" does not, and at {now:d} s nearly everything')
+@then('"a" and "b" hold at most 100, and "b" at least 80 at {now:d} s')
 def check_share_of_b(context, now):
     assert context.granted["a"] + context.granted["b"] <= 100, context.granted
     send_heartbeat(context, "b", 200, float(now))
     assert context.granted["b"] >= 80, context.granted
 
 
-@when('"a" holds {held:d} and wants {wanted:d} at {now:d} s')
+@when('"a" holds {held:d} and requests {wanted:d} at {now:d} s')
 def request_with_holding(context, held, wanted, now):
     send_heartbeat(context, "a", wanted, float(now), (7, held))
 
 
-@then('"a" is given {given_share:d}')
-def check_share_of_a(context, given_share):
-    assert context.granted["a"] == given_share, context.granted
+@then('"a" is granted {granted:d}')
+def check_share_of_a(context, granted):
+    assert context.granted["a"] == granted, context.granted
 
 
 # --- claims --------------------------------------------------------------------
@@ -292,14 +294,14 @@
     )
 
 
-@then('no claim is kept, and the old key is "{status}"')
+@then('no claim is kept, and the expired key is "{status}"')
 def check_no_claim(context, status):
     assert not context.claims.claims and not context.claims.by_age
     check_claim_status(context, status)
 
 
-@when("a claim is settled with an answer of {size:d} bytes")
-def settle_with_answer(context, size):
+@when("a claim is settled with a response of {size:d} bytes")
+def settle_with_response(context, size):
     table = claims.ClaimTable()
     take_claim(table, "k", 1)
     table.settle(
@@ -314,7 +316,7 @@
     context.claim = take_claim(table, "k", 1)
 
 
-@then('a resend is told "{status}"')
+@then('a retry with the same key gets the status "{status}"')
 def check_resend(context, status):
     check_claim_status(context, status)
 
@@ -365,22 +367,22 @@
 
 
 DAMAGE = {
-    "nothing": lambda c: None,
-    "a torn tail": lambda c: c.log.write_bytes(c.log.read_bytes()[:-7]),
+    "no damage": lambda c: None,
+    "a truncated tail": lambda c: c.log.write_bytes(c.log.read_bytes()[:-7]),
     "garbage at the end": lambda c: c.log.write_bytes(
         c.log.read_bytes() + b"CFRLnonsense"
     ),
-    "a bit in the middle": lambda c: invert_byte(c.log, 200),
-    "a lost identity": lambda c: (
+    "an inverted byte": lambda c: invert_byte(c.log, 200),
+    "a missing identity": lambda c: (
         c.folder / "data" / disk.IDENTITY_FILE
     ).unlink(),
     "a newer format": write_newer_format,
-    "a lost snapshot": delete_snapshot,
+    "a missing snapshot": delete_snapshot,
 }
 
 
-@when("the log suffers {damage}")
-def damage_log(context, damage):
+@when("the folder is left with {damage}")
+def damage_folder(context, damage):
     DAMAGE[damage](context)
 
 
@@ -550,12 +552,12 @@
     context.unmet_outcomes = player.unmet_outcomes(trace, [report])
 
 
-@then("its stated outcomes are met")
+@then("its expected outcomes are met")
 def check_outcomes(context):
     assert not context.unmet_outcomes, context.unmet_outcomes
 
 
-@when('the trace "{name}" states a slowdown of at most {bound:g} for {policy}')
+@when('the trace "{name}" expects a slowdown of at most {bound:g} for {policy}')
 def replay_with_outcome(context, name, bound, policy):
     trace = trace_lib.read(str(TRACES / f"{name}.jsonl")).ok
     trace.outcomes = [
@@ -572,14 +574,14 @@
     ), context.unmet_outcomes
 
 
-@when("a trace holds the line {line}")
+@when("a trace contains the line {line}")
 def read_trace_line(context, line):
     path = context.folder / "trace.jsonl"
     path.write_text('{"kind": "fleet", "name": "x"}\n' + line + "\n")
     context.result = trace_lib.read(str(path))
 
 
-@then('reading it says "{first}" and "{second}"')
+@then('reading it fails with "{first}" and "{second}"')
 def check_trace_error(context, first, second):
     assert first in context.result.error, context.result
     assert second in context.result.error, context.result
