--- a/features/chaos.feature
+++ b/features/chaos.feature
@@ -9,7 +9,7 @@
     And the leader is frozen for 4 s
     And "entry-2" is frozen for 10 s
     And an operator changes the configuration
-    And version 3 comes into force at every entry
+    And every entry applies version 3
     And the callers stop
     Then no charge ran twice and no "not run" response was false
     And every complete response is the caller's own
--- a/features/control/elections.feature
+++ b/features/control/elections.feature
@@ -61,9 +61,9 @@
       | started 0.1 s ago                  | a pre-vote, log too old  | no      |
       | started 0.7 s ago                  | a pre-vote               | yes, idle |
       | started 0.7 s ago                  | a vote                   | yes     |
-      | heard a leader 0.1 s ago           | a pre-vote               | no      |
-      | heard a leader 0.1 s ago           | a vote as all are idle   | no      |
-      | heard a leader 0.7 s ago           | a pre-vote               | yes     |
+      | received a heartbeat 0.1 s ago     | a pre-vote               | no      |
+      | received a heartbeat 0.1 s ago     | a vote as all are idle   | no      |
+      | received a heartbeat 0.7 s ago     | a pre-vote               | yes     |
       | leads                              | a vote as all are idle   | no      |
       | led until 0.1 s ago                | a pre-vote               | no      |
       | led until 0.1 s ago                | a vote as all are idle   | no      |
--- a/features/control/proofs.feature
+++ b/features/control/proofs.feature
@@ -55,8 +55,8 @@
       | 2           | 2          | attachment |
       | 1           | 7          | process    |
 
-  Scenario Outline: A planted defect is detected: <defect>
-    When the proof defect "<defect>" is planted
+  Scenario Outline: An injected defect is detected: <defect>
+    When the proof defect "<defect>" is injected
     Then a scenario of this feature fails
 
     Examples:
--- a/features/control/relays.feature
+++ b/features/control/relays.feature
@@ -4,8 +4,8 @@
     Then in 120 random histories no withdrawn version is served past its bound
     And after each history all gateways are up to date 6 s after the last fault
 
-  Scenario Outline: A planted defect is detected: <defect>
-    When the defect "<defect>" is planted
+  Scenario Outline: An injected defect is detected: <defect>
+    When the defect "<defect>" is injected
     Then a random or directed history fails
 
     Examples:
@@ -30,10 +30,10 @@
       | is cut off from the leader  | 3.0     | 1.5 |
       | is cut off from its zone    | 1.8     | 1.5 |
 
-  Scenario Outline: A version put <when> is in force at all gateways within <seconds> s
+  Scenario Outline: A version put <when> is in use at all gateways within <seconds> s
     Given 6 gateways that each watch a relay of their zone
     When a version is put <when>
-    Then it is in force at all gateways within <seconds> s
+    Then it is in use at all gateways within <seconds> s
 
     Examples:
       | when                         | seconds |
--- a/features/control/watch.feature
+++ b/features/control/watch.feature
@@ -1,8 +1,8 @@
 Feature: Gateways receive routes, endpoints and members by watching
 
-  Scenario Outline: Only a version above the one in force is adopted
+  Scenario Outline: Only a version above the current one is adopted
     When versions <sent> are put
-    Then version <wanted> is in force with its own document
+    Then version <wanted> is in use with its own document
 
     Examples:
       | sent  | wanted |
@@ -13,12 +13,12 @@
   Scenario: A snapshot keeps the routes and their document
     When versions 4 are put
     And the state is saved and loaded
-    Then version 4 is in force with its own document
+    Then version 4 is in use with its own document
 
   Scenario: A sign-off is distinguished from an expired lease
-    Given a coordinator with endpoints "left" and "silent"
-    When "left" signs off and "silent" sends nothing for 9 s
-    Then the next watch returns "left" as left and "silent" as gone
+    Given a coordinator with endpoints "left" and "lost"
+    When "left" signs off and "lost" sends nothing for 9 s
+    Then the next watch returns "left" as left and "lost" as gone
 
   Scenario: A late heartbeat does not restore an endpoint that signed off
     Given a coordinator with endpoints "left" and "other"
--- a/features/core/bounds.feature
+++ b/features/core/bounds.feature
@@ -60,7 +60,7 @@
     Given a gateway with 2000 work items
     Then its summary has 800 work items and less than 65000 bytes
 
-  Scenario Outline: A leader drops a silent <member>
+  Scenario Outline: A leader drops a <member> that sends nothing
     Given a leader that knows a <member>
     Then it is known for <known> s and dropped after <dropped> s
 
--- a/features/core/retryhistories.feature
+++ b/features/core/retryhistories.feature
@@ -50,7 +50,7 @@
       | 96    | 5        | 1       | 18    |
       | 520   | 1        | 1       | 18    |
 
-  Scenario Outline: A planted defect of the fleet's retry budget is caught: <defect>
+  Scenario Outline: An injected defect of the fleet's retry budget is detected: <defect>
     Given the defect "<defect>" in the fleet's retry budget
     Then one of the histories exceeds the budget
 
--- a/features/core/routedelta.feature
+++ b/features/core/routedelta.feature
@@ -4,7 +4,7 @@
     Given a version of 40 routes
     When the next version <changes>
     Then it is sent as a <form>, in at most <bytes> bytes
-    And a gateway that applies it has the next version in force
+    And a gateway that applies it uses the next version
 
     Examples:
       | changes             | form     | bytes |
@@ -20,7 +20,7 @@
   Scenario: A gateway that is many versions behind gets one delta
     Given a version of 40 routes
     When 20 versions follow that add a route each
-    Then a gateway that applies the update has the next version in force
+    Then a gateway that applies the update uses the next version
     And it is sent as a delta, in at most 6000 bytes
 
   Scenario Outline: A delta that does not fit makes a gateway request a snapshot
--- a/features/gateway/parts.feature
+++ b/features/gateway/parts.feature
@@ -46,7 +46,7 @@
       | 0  | 1  | 0       |
 
   Scenario Outline: An older version never replaces a newer one
-    Then versions <given> in turn leave <wanted> in force
+    Then versions <given> in turn leave <wanted> in use
 
     Examples:
       | given | wanted |
@@ -74,7 +74,7 @@
       | 96       | 5        | 58   |
 
   Scenario Outline: An endpoint that has left is not used again
-    Then an endpoint that was <before> and is announced <after> is <state>
+    Then an endpoint that was <before> and then is <after> is <state>
 
     Examples:
       | before  | after   | state  |
@@ -82,7 +82,7 @@
       | serving | leaving | unused |
       | leaving | serving | unused |
       | gone    | serving | unused |
-      | serving | silent  | unused |
+      | serving | expired | unused |
 
   Scenario Outline: Load summaries of another gateway are applied in order
     Then a summary numbered <later> after <earlier> is <taken>
@@ -108,8 +108,8 @@
   Scenario: Changes of own work are sent once
     Then own work is sent once when it changes and completely on request
 
-  Scenario Outline: The work of a silent gateway expires
-    Then a gateway that is silent for <seconds> s counts <count> work items
+  Scenario Outline: The work of a gateway that sends nothing expires
+    Then a gateway that sends nothing for <seconds> s counts <count> work items
 
     Examples:
       | seconds | count |
--- a/features/gateway/quarantine.feature
+++ b/features/gateway/quarantine.feature
@@ -21,7 +21,7 @@
       | 1       | 3     | nothing                         | 4    |
       | 10      | 1     | nothing                         | 7    |
       | 30      | 2     | nothing                         | 7    |
-      | 1       | 0.2   | a rush                          | 4    |
+      | 1       | 0.2   | a traffic burst                 | 4    |
       | 1       | 0.2   | a popular proper request        | 5    |
       | 1       | 0.2   | a rack that ends                | 4    |
       | 1       | 0.2   | engines that break off          | 4    |
@@ -79,7 +79,7 @@
       | a rack that ends         | 99    |
       | racks that end in turn   | 95    |
       | engines that break off   | 95    |
-      | engines that go dark     | 90    |
+      | unresponsive engines     | 90    |
       | engines that end at random, and a popular proper request | 95 |
 
   # Guards against clearing a suspect only at the gateway that saw its crashes.
--- a/features/gateway/quarantinedefects.feature
+++ b/features/gateway/quarantinedefects.feature
@@ -1,6 +1,6 @@
 Feature: The checks detect defects of the quarantine
 
-  # Guards against checks that pass although the quarantine is broken.
+  # Guards against checks that pass although the quarantine has a defect.
   Scenario Outline: An injected defect is detected: <defect>
     When the defect "<defect>" is in the quarantine
     Then a history of crashes fails
@@ -12,8 +12,8 @@
       | the fingerprint leaves out the workspace |
       | crashes are counted by report            |
       | crashes at once are counted one by one   |
-      | whoever was in flight is convicted       |
-      | answers clear nobody                     |
+      | each request in flight is a culprit      |
+      | responses clear no suspect               |
       | suspects are not published               |
       | suspects are sent to the same engines    |
       | watched requests are forgotten           |
@@ -21,5 +21,5 @@
       | later gateways learn nothing             |
       | a new leader publishes changes only      |
       | no trial is ever due                     |
-      | what runs is not stopped                 |
+      | running requests are not stopped         |
       | broken connections count as crashes      |
--- a/features/shell/links.feature
+++ b/features/shell/links.feature
@@ -10,24 +10,24 @@
     When a call is cancelled after 0.2 s
     Then it ends as cancelled
 
-  Scenario Outline: A connection attempt during <way> of the path recovers soon
-    Given a replica behind a path with <way>
+  Scenario Outline: A connection attempt during <mode> of the path recovers soon
+    Given a replica behind a path with <mode>
     When a call is made, and 1 s later the path is restored
     Then calls are answered again within <most> s
 
     Examples: an attempt to connect times out; an open connection is pinged
-      | way      | most |
+      | mode     | most |
       | silence  | 2    |
       | drop_out | 2    |
       | drop_in  | 4    |
 
-  Scenario Outline: A peer stream over a path with <way> is replaced
+  Scenario Outline: A peer stream over a path with <mode> is replaced
     Given a replica that receives messages over a path
-    When the path has <way> for 1 s and is restored then
+    When the path has <mode> for 1 s and is then restored
     Then messages arrive again within 5 s
 
     Examples:
-      | way     |
+      | mode    |
       | silence |
       | drop_in |
 
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -11,7 +11,7 @@
       | seed | seconds | served | cause                                     |
       | 1    | 10      | 300    | a first short run, never failed           |
       | 4    | 20      | 500    | a timed-out call cancelled the others     |
-      | 12   | 20      | 500    | an attempt to connect held on for 20 s     |
+      | 12   | 20      | 500    | a connection attempt lasted 20 s          |
       | 14   | 20      | 500    | SIGHUP ended a process that was stopping  |
       | 3009 | 20      | 500    | a second SIGTERM ended a stopping process |
       | 189717 | 20    | 500    | SIGHUP ended a process before it ran any code |
@@ -87,7 +87,7 @@
 
   Scenario: A fleet that does not start is reported with the last line of each log
     Given a soak in which two replicas get the same port
-    When it has 3 s to put its first version in force
+    When it has 3 s to apply its first version
     Then it reports that no replica accepted a version
     And it reports the address that is in use
 
--- a/features/soak/callers.py
+++ b/features/soak/callers.py
@@ -150,7 +150,7 @@
 
 @attrs.define(eq=False)
 class VersionMonitor:
-    """Records versions in force at gateways, per start of the process."""
+    """Records the versions that gateways use, per start of the process."""
 
     observed: audit.Observations
     ready: list[str]
@@ -174,7 +174,7 @@
 
 
 def read_version(address: str) -> int | None:
-    """Return the version in force at a gateway; None without a response."""
+    """Return the version that a gateway uses; None without a response."""
     host, port = address.split(":")
     connection = http.client.HTTPConnection(
         host, int(port), timeout=LOOKUP_TIMEOUT_S
--- a/features/soak/driver.py
+++ b/features/soak/driver.py
@@ -263,12 +263,12 @@
     # --- operators -------------------------------------------------------
 
     async def do_version(self, fault):
-        """Put the next version in force."""
+        """Apply the next version."""
         del fault
         await self.put_config(self.next_config(), "plain")
 
     async def do_version_burst(self, fault):
-        """Put many versions in force in quick succession."""
+        """Apply many versions in quick succession."""
         del fault
         puts = []
         for _ in range(BURST_VERSIONS):
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -116,7 +116,7 @@
 async def start_serving(
     injector: driver_lib.FaultInjector, fleet: fleet_lib.Fleet
 ) -> None:
-    """Put the first version in force and start the endpoints."""
+    """Apply the first version and start the endpoints."""
     end = time.monotonic() + FIRST_VERSION_TIMEOUT_S
     while await injector.put_config(injector.next_config(), "first") is None:
         if time.monotonic() > end:
--- a/features/steps/backlog_steps.py
+++ b/features/steps/backlog_steps.py
@@ -45,9 +45,9 @@
         """Return the next request."""
         return self.watch_cache.next_request(NOW_S, 0.0)
 
-    def receive(self, request, news) -> None:
+    def receive(self, request, reply) -> None:
         """Handle the response to a request."""
-        self.watch_cache.apply_response(request, news, NOW_S, NOW_S)
+        self.watch_cache.apply_response(request, reply, NOW_S, NOW_S)
 
 
 class GatewaySubject:
@@ -65,9 +65,9 @@
         """Return the next request."""
         return self.watch.question()
 
-    def receive(self, request, news) -> None:
+    def receive(self, request, reply) -> None:
         """Handle the response to a request."""
-        self.watch.take(request, news, NOW_S)
+        self.watch.take(request, reply, NOW_S)
 
 
 SUBJECTS = {"relay": RelaySubject, "gateway": GatewaySubject}
--- a/features/steps/chaos_steps.py
+++ b/features/steps/chaos_steps.py
@@ -73,7 +73,7 @@
         self.charges.append((key, responses))
 
     def record_versions(self):
-        """Record the versions that entries have in force."""
+        """Record the versions that entries use."""
         client = self.create_client()
         while not self.stopping.is_set():
             for number in range(3):
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -88,7 +88,7 @@
         context.crashed = bed.gateway.crash_detector.crashed
         context.lost = bed.gateway.lost_in_crashes
 
-    gateway_steps.play(context, story)
+    gateway_steps.run_with_bed(context, story)
 
 
 @then("it counts as crashed: {yes}, with {suspects:d} suspects")
--- a/features/steps/crashledger_steps.py
+++ b/features/steps/crashledger_steps.py
@@ -35,7 +35,7 @@
 
 
 @then("the culprits are: {names}")
-def convicted_are(context, names):
+def check_culprits(context, names):
     wanted = [] if names == "nothing" else names.split()
     found = set(context.culprits)
     assert found == {
--- a/features/steps/elections_steps.py
+++ b/features/steps/elections_steps.py
@@ -279,7 +279,7 @@
 
 
 def play_drawn(seed: int, kinds: tuple[str, ...]) -> None:
-    """Play a random history; check that at most one lease is ever held."""
+    """Run a random history; check that at most one lease is ever held."""
     cluster = with_leader(seed)
     rng = random.Random(seed)
     for _ in range(6):
@@ -331,7 +331,7 @@
     ago_s = float(words[-3]) if words[-1] == "ago" else 0.0
     started = ASKED_AT - (ago_s if words[0] == "started" else 9.0)
     raft = raft_lib.Raft(ME, random.Random(1), log=log, started_at=started)
-    if words[0] == "heard":
+    if words[0] == "received":
         raft.on_leader_contact(OTHER, ASKED_AT - ago_s)
     elif words[0] in ("leads", "led"):
         led_at = ASKED_AT - ago_s
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -41,7 +41,7 @@
 # --- requests ------------------------------------------------------------
 
 
-def play(context, story) -> None:
+def run_with_bed(context, story) -> None:
     """Run a coroutine function with a test bed in a new event loop."""
 
     async def run():
@@ -74,7 +74,7 @@
         context.seen = [s for e in endpoints for s in e.seen]
         context.ran_at = sum(e.ran for e in endpoints)
 
-    play(context, story)
+    run_with_bed(context, story)
 
 
 @then("at most {count:d} endpoints ran it")
@@ -146,7 +146,7 @@
         context.answer = await bed.ask(path, **options)
         context.seen = endpoint.seen
 
-    play(context, story)
+    run_with_bed(context, story)
 
 
 @then("the caller gets {status:d} at once and nothing is sent")
@@ -178,7 +178,7 @@
         )
         context.seen = endpoint.seen
 
-    play(context, story)
+    run_with_bed(context, story)
 
 
 @then("the endpoint gets the gateway's values and the rest unchanged")
@@ -227,7 +227,7 @@
         context.took_s = clocks.boot_time() - began
         learning.cancel()
 
-    play(context, story)
+    run_with_bed(context, story)
 
 
 @then("the caller gets {status:d} after {least:g} to {most:g} s")
@@ -253,7 +253,7 @@
             await endpoint.hung_up.wait()
         context.hung_up = True
 
-    play(context, story)
+    run_with_bed(context, story)
 
 
 @then("the endpoint's connection is closed within half a second")
@@ -269,7 +269,7 @@
         context.answer = await bed.ask("/safe/x", extra={"X-Request-Id": "r-2"})
         context.seen = endpoint.seen
 
-    play(context, story)
+    run_with_bed(context, story)
 
 
 # --- events --------------------------------------------------------------
@@ -347,7 +347,7 @@
 # --- route view ----------------------------------------------------------
 
 
-@then("versions {given_ones} in turn leave {wanted:d} in force")
+@then("versions {given_ones} in turn leave {wanted:d} in use")
 def versions(context, given_ones, wanted):
     view = routeview.RouteView(staleness_bound_s=4.5)
     for version in given_ones.split():
@@ -401,11 +401,11 @@
 # --- endpoints -----------------------------------------------------------
 
 
-@then("an endpoint that was {before} and is announced {after} is {state}")
+@then("an endpoint that was {before} and then is {after} is {state}")
 def announced(context, before, after, state):
     endpoints = endpointset.EndpointSet()
     for seq, word in enumerate((before, after)):
-        if word == "silent":
+        if word == "expired":
             endpoints.expire("e")
             continue
         endpoints.learn(
@@ -528,8 +528,10 @@
     assert work.sent_at == 9.5, work
 
 
-@then("a gateway that is silent for {seconds:g} s counts {count:d} work items")
-def silent(context, seconds, count):
+@then(
+    "a gateway that sends nothing for {seconds:g} s counts {count:d} work items"
+)
+def check_work_expires(context, seconds, count):
     load = workload.Workload()
     load.apply_summary(summary_of(1, workload.Change(1, "e")), 10.0)
     load.expire(10.0 + seconds)
--- a/features/steps/links_steps.py
+++ b/features/steps/links_steps.py
@@ -87,9 +87,9 @@
     assert context.took_s < 0.5, context.took_s
 
 
-@given("a replica behind a path with {way}")
-def behind_path(context, way):
-    context.way = way
+@given("a replica behind a path with {mode}")
+def behind_path(context, mode):
+    context.mode = mode
     context.answer_s = 0.0
 
 
@@ -104,7 +104,7 @@
         await server.start()
         proxy = proxy_lib.Proxy(("127.0.0.1", port))
         await proxy.start()
-        proxy.set_mode(context.way)
+        proxy.set_mode(context.mode)
         link = links.GrpcControlClient((proxy.address,))
         first = asyncio.ensure_future(link.call(messages.ReadRoutes(), seconds))
         await asyncio.sleep(seconds)
@@ -132,8 +132,8 @@
     context.arrived_at = []
 
 
-@when("the path has {way} for {seconds:g} s and is restored then")
-def path_disturbed(context, way, seconds):
+@when("the path has {mode} for {seconds:g} s and is then restored")
+def path_disturbed(context, mode, seconds):
     async def run():
         server = links.make_server(
             None, lambda *_: context.arrived_at.append(time.monotonic())
@@ -147,7 +147,7 @@
             term=1, sender="r1", pre=False, granted=False, asked_term=1
         )
         await send_for(link, vote, seconds)
-        proxy.set_mode(way)
+        proxy.set_mode(mode)
         await send_for(link, vote, seconds)
         proxy.set_mode("")
         context.restored_at = time.monotonic()
--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -159,7 +159,7 @@
 
 
 @given("a gateway that is not in rotation has reported {what} to it")
-def heard(context, what):
+def report_work(context, what):
     not_in_rotation = set(context.members.known) - used(context)
     name = max(not_in_rotation)
     context.reporter = context.members.known[name].peer_address
--- a/features/steps/promises_steps.py
+++ b/features/steps/promises_steps.py
@@ -67,7 +67,7 @@
                 break
             await asyncio.sleep(0.01)
 
-    gateway_steps.play(context, story)
+    gateway_steps.run_with_bed(context, story)
 
 
 @then("each reservation that was made is released")
@@ -99,7 +99,7 @@
         assert await watch.poll()
         context.age_s = bed.gateway.view.age_s(clocks.boot_time())
 
-    gateway_steps.play(context, story)
+    gateway_steps.run_with_bed(context, story)
 
 
 @then("the proof is at least {least:g} s old")
@@ -125,7 +125,7 @@
         context.answer = await asked
         context.seen = [s for e in endpoints for s in e.seen]
 
-    gateway_steps.play(context, story)
+    gateway_steps.run_with_bed(context, story)
 
 
 @when(
@@ -143,7 +143,7 @@
         context.answer = await asked
         context.seen = endpoint.seen + other.seen
 
-    gateway_steps.play(context, story)
+    gateway_steps.run_with_bed(context, story)
 
 
 @when("the proof expires while a first endpoint loses a safe request")
@@ -155,7 +155,7 @@
         context.answer = await bed.ask("/safe/x")
         context.seen = [s for e in endpoints for s in e.seen]
 
-    gateway_steps.play(context, story)
+    gateway_steps.run_with_bed(context, story)
 
 
 def expiring_proof(bed, act):
@@ -191,7 +191,7 @@
         context.took_s = clocks.boot_time() - began
         context.seen = [s for e in endpoints for s in e.seen]
 
-    gateway_steps.play(context, story)
+    gateway_steps.run_with_bed(context, story)
 
 
 def restart(bed, endpoint) -> None:
@@ -206,13 +206,13 @@
 
 @when(
     "a prompt is held for {held:g} s beside {late:d} late ones, and"
-    " {places:d} batch slots are free"
+    " {slots:d} batch slots are free"
 )
-def held_beside_late(context, held, late, places):
+def held_beside_late(context, held, late, slots):
     async def story(bed):
         endpoint = await bed.take(GrantingEndpoint("e1", []))
         shop = gatewaybed.config().services[0]
-        spec = mixes.spec(places, 450_000, 46)
+        spec = mixes.spec(slots, 450_000, 46)
         known = gatewaybed.config(
             version=2, services=(attrs.evolve(shop, engine=spec),)
         )
@@ -232,7 +232,7 @@
         bed.gateway.start_up.on_news(0.3, clocks.boot_time())
         context.answer = await asking
 
-    gateway_steps.play(context, story)
+    gateway_steps.run_with_bed(context, story)
 
 
 @when(
--- a/features/steps/proofs_steps.py
+++ b/features/steps/proofs_steps.py
@@ -53,8 +53,8 @@
 
     def receive(self, requested: int, reply: watching.News) -> None:
         """Apply a response to a request from a given version."""
-        question = attrs.evolve(self.watch.question(), routes_version=requested)
-        self.watch.take(question, reply, REQUESTED_AT_S)
+        request = attrs.evolve(self.watch.question(), routes_version=requested)
+        self.watch.take(request, reply, REQUESTED_AT_S)
 
     @property
     def version(self) -> int:
@@ -68,7 +68,7 @@
 
     @property
     def next_base_version(self) -> int:
-        """Return the version from which the next request asks for changes."""
+        """Return the version on which the next request bases its changes."""
         return self.watch.question().routes_version
 
 
@@ -99,7 +99,7 @@
 
     @property
     def next_base_version(self) -> int:
-        """Return the version from which the next request asks for changes."""
+        """Return the version on which the next request bases its changes."""
         return self.watch_cache.next_request(REQUESTED_AT_S, 0.0).routes_version
 
 
@@ -307,8 +307,8 @@
 }
 
 
-@when('the proof defect "{label}" is planted')
-def plant_defect(context, label):
+@when('the proof defect "{label}" is injected')
+def inject_defect(context, label):
     context.defect = DEFECTS[label]
 
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -43,7 +43,7 @@
     " {popular:d} popular ones"
 )
 def poisons_beside_popular(context, poisons, every, popular):
-    crashhistories.play_beside_popular(
+    crashhistories.send_beside_popular(
         context.world, context.go, poisons, every, popular
     )
 
@@ -76,13 +76,15 @@
 
 @when("{poisons:d} poison requests are sent every {every:g} s beside {trouble}")
 def poisons_beside(context, poisons, every, trouble):
-    crashhistories.play(context.world, context.go, poisons, every, trouble)
+    crashhistories.send_during_fault(
+        context.world, context.go, poisons, every, trouble
+    )
 
 
 @when("proper requests are sent for {seconds:g} s beside {trouble}")
 def proper_beside(context, seconds, trouble):
-    assert seconds == crashhistories.PLAY_S
-    crashhistories.play(context.world, context.go, 0, 1.0, trouble)
+    assert seconds == crashhistories.HISTORY_S
+    crashhistories.send_during_fault(context.world, context.go, 0, 1.0, trouble)
 
 
 @then(
@@ -301,7 +303,7 @@
 
 
 @when('the defect "{label}" is in the quarantine')
-def planted(context, label):
+def inject_defect(context, label):
     context.defect = crashhistories.DEFECTS[label]
 
 
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -29,8 +29,8 @@
     assert seconds == relayhistories.CONVERGENCE_S
 
 
-@when('the defect "{label}" is planted')
-def plant_defect(context, label):
+@when('the defect "{label}" is injected')
+def inject_defect(context, label):
     context.defect = relayhistories.DEFECTS[label]
 
 
@@ -99,7 +99,7 @@
         context.world.processes[name].stop()
 
 
-@then("it is in force at all gateways within {seconds:g} s")
+@then("it is in use at all gateways within {seconds:g} s")
 def in_force(context, seconds):
     context.run(seconds)
     newest = context.world.acked[-1][1]
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -40,7 +40,7 @@
         self.now = 100.0
         self.coordinator = new_coordinator(self.now)
         self.endpoints = endpointset.EndpointSet()
-        self.mark = 0
+        self.revision = 0
 
     def receive(self, message: str) -> None:
         """Receive one message in the notation of the feature."""
@@ -55,13 +55,13 @@
 
     def poll(self, repeated: tuple = ()) -> None:
         """Let the gateway poll the leader, and report announcements to it."""
-        news = watch(self.coordinator, self.now, self.mark, repeated)
-        self.mark = news.registry_mark
-        for found in news.changes.announcements:
+        response = watch(self.coordinator, self.now, self.revision, repeated)
+        self.revision = response.registry_mark
+        for found in response.changes.announcements:
             self.endpoints.learn(found, self.now)
-        for name in news.changes.gone:
+        for name in response.changes.gone:
             self.endpoints.expire(name)
-        for found in news.changes.left:
+        for found in response.changes.left:
             self.endpoints.learn(found, self.now)
 
     def used(self) -> tuple[bool, bool]:
@@ -77,18 +77,18 @@
 
 
 def watch(
-    coordinator, now: float, mark: int, repeated: tuple = ()
+    coordinator, now: float, revision: int, repeated: tuple = ()
 ) -> watching.News:
     """Return the changes since a revision."""
-    question = watching.Watch(
+    request = watching.Watch(
         member=MEMBER,
         routes_version=-1,
         epoch=coordinator.epoch,
-        registry_mark=mark,
+        registry_mark=revision,
         announcements=repeated,
         wait_s=0.0,
     )
-    return coordinator.on_watch(question, now)
+    return coordinator.on_watch(request, now)
 
 
 def is_used(coordinator: coordinator_lib.Coordinator) -> bool:
@@ -100,12 +100,12 @@
 
 def announcement(message: str) -> registry.Announcement:
     """Return the announcement of a message in the feature."""
-    mark, _, state = message.rpartition(" ")
+    number, _, state = message.rpartition(" ")
     if state == "off":
         return registry.sign_off_announcement(
-            NAME, int(mark or registry.NO_INCARNATION)
+            NAME, int(number or registry.NO_INCARNATION)
         )
-    incarnation_text, _, seq = mark.partition(".")
+    incarnation_text, _, seq = number.partition(".")
     return registry.Announcement(
         endpoint=NAME,
         incarnation=int(incarnation_text),
--- a/features/steps/retrybudget_steps.py
+++ b/features/steps/retrybudget_steps.py
@@ -62,7 +62,7 @@
         context.budget_used = bed.gateway.budget(SERVICE).used()
         context.dump = json.loads(bed.gateway.dump())
 
-    gateway_steps.play(context, story)
+    gateway_steps.run_with_bed(context, story)
 
 
 @then('"{event}" is logged with the request, service, budget, share and age')
@@ -141,7 +141,7 @@
         context.arrivals = len(endpoints[0].seen)
         context.budget = bed.gateway.budget(SERVICE)
 
-    gateway_steps.play(context, story)
+    gateway_steps.run_with_bed(context, story)
 
 
 @then("it arrived {arrivals:d} times and {charged:d} retries were charged")
@@ -200,7 +200,7 @@
             context.statuses.append(answer.status)
             await asyncio.sleep(2 * retryborrower.PAUSE_S)
 
-    gateway_steps.play(context, story)
+    gateway_steps.run_with_bed(context, story)
 
 
 @then("{count:d} of them are answered and the others refused with 503")
--- a/features/steps/retryhistories_steps.py
+++ b/features/steps/retryhistories_steps.py
@@ -16,7 +16,7 @@
 
 
 @when("{history} meanwhile")
-def play(context, history):
+def run_history(context, history):
     context.world = retryhistories.DIRECTED[history]()
 
 
@@ -37,7 +37,7 @@
 
 
 @given('the defect "{label}" in the fleet\'s retry budget')
-def plant(context, label):
+def inject_defect(context, label):
     context.label = label
 
 
--- a/features/steps/routedelta_steps.py
+++ b/features/steps/routedelta_steps.py
@@ -29,7 +29,7 @@
 
 
 def put(context, config: routes.RouteConfig) -> None:
-    """Put a version in force."""
+    """Apply a version."""
     context.store.put(messages.PutRoutes(config=config, source=b"x"))
 
 
@@ -81,7 +81,7 @@
         put(context, context.new)
 
 
-def news(context) -> watching.News:
+def response(context) -> watching.News:
     """Return the response to a gateway with the old version."""
     snapshot, delta = context.store.news(context.old.version)
     return watching.News(
@@ -91,20 +91,20 @@
 
 @then("it is sent as a {form}, in at most {most:d} bytes")
 def sent_as(context, form, most):
-    found = news(context)
+    found = response(context)
     assert (found.routes_delta is not None) == (form == "delta")
     assert not found.is_empty
     size = len(wireformats.CALLS.encode(found))
     assert size <= most, size
 
 
-@then("a gateway that applies it has the next version in force")
-@then("a gateway that applies the update has the next version in force")
-def in_force(context):
+@then("a gateway that applies it uses the next version")
+@then("a gateway that applies the update uses the next version")
+def check_adopted(context):
     gateway = without_listener()
     gateway.view.adopt(context.old)
     decoded = wireformats.CALLS.decode(
-        wireformats.CALLS.encode(news(context))
+        wireformats.CALLS.encode(response(context))
     ).ok
     watch = watch_lib.Watch(gateway)
     assert watch.take_routes(watch.question(), decoded)
@@ -140,4 +140,4 @@
 @then("at most {most:d} versions are stored and an old gateway gets a snapshot")
 def bounded(context, most):
     assert len(context.store.recent) <= most
-    assert news(context).routes is context.new
+    assert response(context).routes is context.new
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -96,7 +96,7 @@
     context.patched = mock.patch.object(ports, "free_ports", free_ports)
 
 
-@when("it has {seconds:d} s to put its first version in force")
+@when("it has {seconds:d} s to apply its first version")
 def short_start(context, seconds):
     options = plan.SoakOptions(replicas=REPLICAS, gateways=1)
     with (
--- a/features/steps/startshare_steps.py
+++ b/features/steps/startshare_steps.py
@@ -18,11 +18,11 @@
 
 
 @then(
-    "each of {gateways:d} gateways that know {places:d} batch slots"
+    "each of {gateways:d} gateways that know {slots:d} batch slots"
     " sends {prompts:d}"
 )
-def each_sends(context, gateways, places, prompts):
-    found = startuplimit.max_prompts(places, gateways)
+def each_sends(context, gateways, slots, prompts):
+    found = startuplimit.max_prompts(slots, gateways)
     assert found == prompts, found
 
 
@@ -64,7 +64,7 @@
             )
 
 
-@then("at most {queued:d} in 100 prompts meet a full engine")
+@then("at most {queued:d} in 100 prompts are sent to a full engine")
 def meet_full(context, queued):
     over = sum(max(0, got - SLOTS) for got in context.received.values())
     sent = sum(context.received.values())
--- a/features/steps/watch_steps.py
+++ b/features/steps/watch_steps.py
@@ -76,8 +76,8 @@
     context.state = state_lib.load(state_lib.save(context.state))
 
 
-@then("version {wanted:d} is in force with its own document")
-def in_force(context, wanted):
+@then("version {wanted:d} is in use with its own document")
+def check_version_in_use(context, wanted):
     routes = context.state.routes
     assert routes.version == wanted
     assert routes.source == f"document {wanted} first".encode(), routes.source
@@ -98,21 +98,21 @@
     )
 
 
-@when('"{left}" signs off and "{silent}" sends nothing for {seconds:g} s')
-def sign_off(context, left, silent, seconds):
+@when('"{left}" signs off and "{lost}" sends nothing for {seconds:g} s')
+def sign_off(context, left, lost, seconds):
     context.coordinator.record_announcement(
         announcement(left, 2**62, "gone"), 8.0, START + 1
     )
     context.now = START + seconds
 
 
-@then('the next watch returns "{left}" as left and "{silent}" as gone')
-def returns_ends(context, left, silent):
+@then('the next watch returns "{left}" as left and "{lost}" as gone')
+def returns_ends(context, left, lost):
     response = watch(context.coordinator, context.now, context.revision)
     assert [sign_off.endpoint for sign_off in response.changes.left] == [
         left
     ], response
-    assert response.changes.gone == (silent,), response
+    assert response.changes.gone == (lost,), response
 
 
 @when('"{left}" signs off and an earlier heartbeat of it arrives late')
--- a/features/steps/whole_path_steps.py
+++ b/features/steps/whole_path_steps.py
@@ -62,7 +62,7 @@
     assert context.exit_code == code, context.exit_code
 
 
-@step("version {version:d} comes into force at every entry")
+@step("every entry applies version {version:d}")
 def check_in_force(context, version):
     outcome = context.fleet.ctl("config", "watch", str(version))
     assert outcome.returncode == 0, outcome.stdout
--- a/features/support/crashhistories.py
+++ b/features/support/crashhistories.py
@@ -27,7 +27,7 @@
 POPULAR = b"popular"
 POPULAR_EVERY_S = 0.05
 RARE_EVERY_S = 0.1
-PLAY_S = 12.0
+HISTORY_S = 12.0
 TROUBLE_AT_S = 2.0
 RACK = 5
 # Seeds with a popular request in flight at the crashes of a poison request; not
@@ -139,12 +139,12 @@
 TROUBLES = {
     "a client's engines break off in turn": follow_one,
     "nothing": nothing,
-    "a rush": rush,
+    "a traffic burst": rush,
     "a popular proper request": popular,
     "a rack that ends": rack_ends,
     "racks that end in turn": racks_end,
     "engines that break off": break_off,
-    "engines that go dark": go_dark,
+    "unresponsive engines": go_dark,
     "engines that end at random, and a popular proper request": end_at_random,
     "no leader for 2 s": lose_leader,
     "a cold restart of all gateways": restart_gateways,
@@ -154,7 +154,9 @@
 }
 
 
-def play(world, go, poisons: int, every_s: float, trouble: str) -> None:
+def send_during_fault(
+    world, go, poisons: int, every_s: float, trouble: str
+) -> None:
     """Send poison and proper requests, and cause a fault after a while."""
 
     async def story():
@@ -164,12 +166,12 @@
             world.spawn(world.repeat_poison(body, every_s))
         await world.run(TROUBLE_AT_S)
         world.spawn(TROUBLES[trouble](world))
-        await world.run(PLAY_S - TROUBLE_AT_S)
+        await world.run(HISTORY_S - TROUBLE_AT_S)
 
     go(story())
 
 
-def play_beside_popular(
+def send_beside_popular(
     world, go, poisons: int, every_s: float, popular_count: int
 ) -> None:
     """Send poison requests beside popular requests and few others."""
@@ -186,19 +188,19 @@
         for number in range(poisons):
             body = b"%s %d" % (crashworld.POISON, number)
             world.spawn(world.repeat_poison(body, every_s))
-        await world.run(PLAY_S)
+        await world.run(HISTORY_S)
 
     go(story())
 
 
-def storm_convicts_nobody() -> None:
+def check_popular_served() -> None:
     """Check that popular requests are served while engines crash quickly."""
     for seed in STORM_SEEDS:
         with (
             mock.patch.object(crashworld, "RESTART_S", 1.0),
             crashworld.fleet(3, 4, seed=seed) as (world, go),
         ):
-            play_beside_popular(world, go, 1, 0.022, 3)
+            send_beside_popular(world, go, 1, 0.022, 3)
             check_none_proper(world)
 
 
@@ -229,7 +231,7 @@
 def poison_beside(trouble: str) -> None:
     """Send a poison request during a fault."""
     with crashworld.fleet(9, 16) as (world, go):
-        play(world, go, 1, 0.2, trouble)
+        send_during_fault(world, go, 1, 0.2, trouble)
         assert world.state.quarantine.entries, "nothing is in quarantine"
         world.check_poisons()
         check_none_proper(world)
@@ -238,11 +240,11 @@
 def proper_beside(trouble: str) -> None:
     """Send proper requests during a fault."""
     with crashworld.fleet(9, 16) as (world, go):
-        play(world, go, 0, 1.0, trouble)
+        send_during_fault(world, go, 0, 1.0, trouble)
         check_none_proper(world)
 
 
-def convicts_nobody(pattern: str) -> None:
+def finds_no_culprit(pattern: str) -> None:
     """Report crashes that do not prove a culprit."""
     ledger = ledgerpatterns.ledger_of(ledgerpatterns.PATTERNS[pattern])
     assert not ledgerpatterns.culprits_of(ledger)
@@ -362,9 +364,9 @@
     RIGHT_RECORD(self, attrs.evolve(crash, endpoint=key), now)
 
 
-def convicts_everybody(self, fingerprint, convicted, now):
-    """Convict every request that was in flight at some crashes."""
-    del convicted, now
+def accepts_each_suspect(self, fingerprint, culprits, now):
+    """Make each request that was in flight at some crashes a culprit."""
+    del culprits, now
     return len(self.suspected[fingerprint]) >= crashledger.MIN_CRASHES
 
 
@@ -374,7 +376,7 @@
     return float(len(endpoints))
 
 
-def tells_changes_only(self, now):
+def publishes_changes_only(self, now):
     """Publish only entries that are newer than the leadership."""
     table = self.state.quarantine
     if self.quarantine_revision < 0:
@@ -383,7 +385,7 @@
     RIGHT_PUBLISH(self, now)
 
 
-def forgets_at_full_sync(self, added, ended, whole, more):
+def ignores_full_updates(self, added, ended, whole, more):
     """Ignore full updates."""
     if whole:
         return quarantine.ViewChange()
@@ -413,15 +415,15 @@
     ),
     "crashes at once are counted one by one": (
         (crashledger.CrashLedger, "longest_sequence", counts_together),
-        lambda: convicts_nobody("a rack crashes under a popular request"),
+        lambda: finds_no_culprit("a rack crashes under a popular request"),
     ),
-    "whoever was in flight is convicted": (
-        (crashledger.CrashLedger, "is_culprit", convicts_everybody),
-        lambda: convicts_nobody(
+    "each request in flight is a culprit": (
+        (crashledger.CrashLedger, "is_culprit", accepts_each_suspect),
+        lambda: finds_no_culprit(
             "a bystander follows poison to three endpoints"
         ),
     ),
-    "answers clear nobody": (
+    "responses clear no suspect": (
         (crashreporter.CrashReporter, "clear", lambda self, f: None),
         lambda: answered_between_crashes(1),
     ),
@@ -431,7 +433,7 @@
     ),
     "suspects are sent to the same engines": (
         (isolation.Isolation, "is_isolated", lambda self, f: False),
-        storm_convicts_nobody,
+        check_popular_served,
     ),
     "watched requests are forgotten": (
         (crashreporter.CrashReporter, "watch", lambda self, changes: None),
@@ -442,18 +444,18 @@
         lambda: poison_beside("nothing"),
     ),
     "later gateways learn nothing": (
-        (quarantine.QuarantineView, "learn", forgets_at_full_sync),
+        (quarantine.QuarantineView, "learn", ignores_full_updates),
         lambda: poison_beside("a cold restart of all gateways"),
     ),
     "a new leader publishes changes only": (
-        (coordinator.Coordinator, "publish_quarantine", tells_changes_only),
+        (coordinator.Coordinator, "publish_quarantine", publishes_changes_only),
         lambda: poison_beside("a new leader without a copy"),
     ),
     "no trial is ever due": (
         (quarantine.Entry, "allows_trial", lambda self, unix_s: False),
         fixed_is_released,
     ),
-    "what runs is not stopped": (
+    "running requests are not stopped": (
         (contentguard.ContentGuard, "stop_if_quarantined", lambda self: None),
         running_is_stopped,
     ),
--- a/features/support/relayhistories.py
+++ b/features/support/relayhistories.py
@@ -132,11 +132,11 @@
         self.world = world
 
     def version(self, _place):
-        """Put a version in force."""
+        """Apply a version."""
         self.world.put_version()
 
     def storm(self, _place):
-        """Put several versions in force in a row."""
+        """Apply several versions in a row."""
         for _ in range(5):
             self.world.put_version()
 
--- a/features/support/relayworld.py
+++ b/features/support/relayworld.py
@@ -322,7 +322,7 @@
     # --- operators and endpoints -------------------------------------------
 
     def put_version(self) -> bool:
-        """Put the next version in force and record it as acknowledged."""
+        """Apply the next version and record it as acknowledged."""
         version = len(self.acked) + 1
         config = gatewaybed.config(version)
         self.state.routes.put(messages.PutRoutes(config=config, source=b""))
--- a/features/support/replacements.py
+++ b/features/support/replacements.py
@@ -200,8 +200,8 @@
 
     # --- histories -------------------------------------------------------
 
-    def play(self, history: str) -> None:
-        """Play a history, and wait until the set has recovered."""
+    def run_history(self, history: str) -> None:
+        """Run a history, and wait until the set has recovered."""
         for step in history.split("; "):
             self.take_step(step)
         self.run_until(self.now + HISTORY_END_S)
@@ -306,11 +306,11 @@
 
 
 def faults_after(history: str, losses: int, seed: int) -> list[str]:
-    """Play a history on a new site; return the violated invariants."""
+    """Run a history on a new site; return the violated invariants."""
     site = Site(random.Random(seed), losses=losses)
     site.begin()
     try:
-        site.play(history)
+        site.run_history(history)
     except NoneLeftError as error:
         return [str(error)]
     return site.faults()
--- a/features/whole_path.feature
+++ b/features/whole_path.feature
@@ -15,7 +15,7 @@
     Then the exit code is 3
     When an operator patches version 1 to allow 4 tokens as "p1"
     Then the exit code is 0
-    And version 2 comes into force at every entry
+    And every entry applies version 2
     When a caller requests 8 tokens from "entry-0"
     Then the request is refused with "bad_request" and ran "no"
 
