--- a/features/soak/plan.py
+++ b/features/soak/plan.py
@@ -62,7 +62,7 @@
     FaultKind.WALL_CLOCK,
     FaultKind.REPLICA_LINK,
 )
-# Faults that lose a replica's disk for good.
+# Faults that lose a replica's disk permanently.
 LOSS_KINDS = (FaultKind.WIPE_REPLICA, FaultKind.REPLACE_REPLICA)
 # Drawn only for soaks of their own.
 SPECIAL_KINDS = (FaultKind.REPLACE_REPLICA, FaultKind.SHED_ENDPOINTS)
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -100,7 +100,7 @@
 
 
 @then("it is in use at all gateways within {seconds:g} s")
-def in_force(context, seconds):
+def check_version_in_use(context, seconds):
     context.run(seconds)
     newest = context.world.acked[-1][1]
     found = {
--- a/features/steps/whole_path_steps.py
+++ b/features/steps/whole_path_steps.py
@@ -63,7 +63,7 @@
 
 
 @step("every entry applies version {version:d}")
-def check_in_force(context, version):
+def check_version_applied(context, version):
     outcome = context.fleet.ctl("config", "watch", str(version))
     assert outcome.returncode == 0, outcome.stdout
 
--- a/features/support/histories.py
+++ b/features/support/histories.py
@@ -69,7 +69,7 @@
 
 
 @history(REQUEST)
-def entry_dies_in_a_charge_and_it_is_resent(machine):
+def entry_crashes_during_a_charge_that_is_resent(machine):
     charge(machine, "entry-0", seconds=1.0)
     advance(machine, 0.1)
     machine.world.entries.kill("entry-0")
@@ -113,7 +113,7 @@
 
 
 @history(REQUEST)
-def service_dies_in_a_charge(machine):
+def service_crashes_during_a_charge(machine):
     record = charge(machine, "entry-0")
     advance(machine, 0.1)
     for name in requestmachine.PLAIN:
@@ -125,7 +125,7 @@
 
 
 @history(REQUEST)
-def engine_dies_in_a_stream(machine):
+def engine_crashes_during_a_stream(machine):
     records = [submit_prompt(machine, "entry-0", output=8) for _ in range(3)]
     advance(machine, 0.1)
     machine.world.endpoints.kill("engine-0")
@@ -299,7 +299,7 @@
 
 
 @history(REQUEST)
-def shares_come_again_after_a_long_outage(machine):
+def shares_are_granted_again_after_a_long_outage(machine):
     for _ in range(4):
         submit_prompt(machine, "entry-0", prompt=3_000, output=8, seconds=6.0)
     advance(machine, 8.0)
@@ -407,7 +407,7 @@
 
 
 @history(CONTROL)
-def uncommitted_entries_are_replaced_for_good(machine):
+def uncommitted_entries_are_replaced_permanently(machine):
     old = machine.cluster.leader()
     machine.isolate(old.name)
     for number in range(3):
@@ -541,7 +541,7 @@
 
 
 @history(CONTROL)
-def replica_that_was_sent_a_snapshot_goes_on(machine):
+def replica_that_was_sent_a_snapshot_continues(machine):
     cluster = machine.cluster
     leader = cluster.leader().name
     for number in range(5):
@@ -573,7 +573,7 @@
 
 
 @history(CONTROL)
-def lease_is_granted_when_its_asker_has_given_up(machine):
+def lease_is_granted_after_its_requester_timed_out(machine):
     leader = machine.cluster.leader().name
     machine.lease(leader, "y")
     advance_cluster(machine, 0.3)
@@ -589,7 +589,7 @@
 
 
 @history(CONTROL)
-def operators_race_under_one_number(machine):
+def concurrent_patches_of_one_version(machine):
     first = patch(machine, "a", 0, 1)
     second = patch(machine, "b", 0, 2)
     advance_cluster(machine, 2.0)
--- a/features/support/mutants.py
+++ b/features/support/mutants.py
@@ -169,7 +169,7 @@
 
 
 @defect(REQUEST, claims.ClaimTable, "take")
-def gives_back_claims_of_silent_holders(original):
+def releases_claims_of_unresponsive_holders(original):
     def mutant(self, command, retention_s, now):
         key = (command.workspace, command.key)
         claim = self.claims.get(key)
@@ -452,7 +452,7 @@
 
 
 @defect(CONTROL, claims.ClaimTable, "take")
-def grants_a_claim_to_anybody(_):
+def grants_a_claim_to_any_holder(_):
     def mutant(self, command, retention_s, now):
         return messages.ClaimAnswer(status=messages.ClaimStatus.GRANTED)
 
@@ -499,12 +499,12 @@
 
 
 @defect(REPLACING, membership, "UNRESPONSIVE_AFTER_S")
-def replaces_silent_voters_late(_):
+def replaces_unresponsive_voters_late(_):
     return 8.0
 
 
 @defect(REPLACING, Membership, "can_remove")
-def takes_out_silent_voters_late(original):
+def removes_unresponsive_voters_late(original):
     def mutant(self, identity, current, reply_ages):
         late = reply_ages.get(identity, 0.0) >= membership.REMOVE_AFTER_S
         return late and original(self, identity, current, reply_ages)
@@ -513,7 +513,7 @@
 
 
 @defect(REPLACING, membership, "REJOIN_AFTER_S")
-def voters_that_lost_their_vote_never_ask(_):
+def removed_voters_never_rejoin(_):
     return float("inf")
 
 
@@ -528,7 +528,7 @@
 
 
 @defect(REPLACING, Membership, "plan_promotion")
-def learners_wait_to_be_promoted_by_hand(_):
+def learners_are_not_promoted_automatically(_):
     return lambda self, current, reply_ages, caught_up: None
 
 
@@ -566,12 +566,12 @@
 
 
 @defect(REPAIRING, node, "FULL_DISK_RETRY_S")
-def a_full_disk_blocks_for_good(_):
+def a_full_disk_blocks_permanently(_):
     return 1e9
 
 
 @defect(REPAIRING, votermonitor.VoterMonitor, "reply_ages")
-def a_learner_is_silent_since_the_election(_):
+def a_learner_is_unresponsive_since_the_election(_):
     def mutant(self, now):
         since = max(self.raft.leader_since, self.since)
         return {
@@ -589,7 +589,7 @@
 
 
 @defect(REPAIRING, Raft, "step")
-def a_refused_pre_vote_teaches_no_term(original):
+def a_refused_pre_vote_conveys_no_term(original):
     def mutant(self, message, now):
         if getattr(message, "pre", False) and hasattr(message, "granted"):
             message = attrs.evolve(message, term=min(message.term, self.term))
--- a/features/support/relayhistories.py
+++ b/features/support/relayhistories.py
@@ -184,7 +184,7 @@
         )
 
     def gateway_dies(self, index):
-        """Stop a gateway for good, unless only two are left."""
+        """Stop a gateway permanently, unless only two are left."""
         if len(self.world.gateways) > 2:
             names = sorted(self.world.gateways)
             self.end_gateway(names[index % len(names)])
