--- a/benchmarks/poisons.py
+++ b/benchmarks/poisons.py
@@ -75,7 +75,7 @@
         crashworld.fleet(pattern.gateways, pattern.engines, seed) as bed,
     ):
         world, go = bed
-        crashhistories.play_beside_popular(
+        crashhistories.send_beside_popular(
             world, go, pattern.poisons, pattern.every_s, pattern.popular
         )
         entries = set(world.state.quarantine.entries)
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -117,7 +117,7 @@
         if found is not None:
             self.load.remove(found)
 
-    def tell(self, place, changes, full):
+    def receive_summary(self, place, changes, full):
         """Apply another gateway's summary."""
         gateway = "g1" if place % 2 else "g2"
         self.seqs[gateway] += 1
@@ -144,15 +144,15 @@
 
     def do_tell(self, place, key):
         """Receive one work item."""
-        self.tell(place, (self.change(place, key),), False)
+        self.receive_summary(place, (self.change(place, key),), False)
 
     def do_full(self, place, key):
         """Receive all work items of a gateway."""
-        self.tell(place, (self.change(place, key),), True)
+        self.receive_summary(place, (self.change(place, key),), True)
 
     def do_end(self, place, key):
         """Receive the end of a work item."""
-        self.tell(place, (workload.Change(key),), False)
+        self.receive_summary(place, (workload.Change(key),), False)
 
     def do_expire(self, _place, _key):
         """Advance the time and expire old work."""
--- a/features/steps/crashledger_steps.py
+++ b/features/steps/crashledger_steps.py
@@ -83,7 +83,7 @@
 
 
 @when("the first of the poison requests is a known culprit")
-def first_convicted(context):
+def make_first_culprit(context):
     context.culprits = ledgerpatterns.culprits_of(context.ledger, "poison0")
 
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -181,7 +181,7 @@
     body = crashworld.POISON
 
     async def story():
-        await crashhistories.lead_anew(world)
+        await crashhistories.elect_leader_without_copy(world)
         await world.run(5.0)
         engine = next(iter(world.engines.values()))
         asked = asyncio.ensure_future(world.ask(b"other"))
--- a/features/steps/retrybudget_steps.py
+++ b/features/steps/retrybudget_steps.py
@@ -164,11 +164,11 @@
     """Simulates a leader that lends `amount`, None for an unreachable one."""
 
     amount: int | None
-    asked: list = attrs.Factory(list)
+    requested: list = attrs.Factory(list)
 
     async def call(self, message):
         """Respond to a request for retries."""
-        self.asked.append(message)
+        self.requested.append(message)
         if self.amount is None:
             return None
         amount, self.amount = self.amount, 0
@@ -210,8 +210,8 @@
 
 
 @then("the leader got at most {most:d} requests, each for refused retries")
-def asked(context, most):
-    found = context.link.asked
+def check_leader_requests(context, most):
+    found = context.link.requested
     assert 1 <= len(found) <= most, found
     for message in found:
         assert message.service == SERVICE, message
--- a/features/support/crashhistories.py
+++ b/features/support/crashhistories.py
@@ -81,7 +81,7 @@
         world.rng.choice(list(world.engines.values())).end_calls()
 
 
-async def go_dark(world):
+async def lose_network(world):
     """Cut engines off from the network for a while, one after another."""
     for engine in itertools.cycle(world.engines.values()):
         engine.dark = True
@@ -122,7 +122,7 @@
     world.isolate("relay-0")
 
 
-async def lead_anew(world):
+async def elect_leader_without_copy(world):
     """Elect a replica that has no copy of the fleet state."""
     world.lose_leader(0.6)
     for process in world.processes.values():
@@ -144,13 +144,13 @@
     "a rack that ends": rack_ends,
     "racks that end in turn": racks_end,
     "engines that break off": break_off,
-    "unresponsive engines": go_dark,
+    "unresponsive engines": lose_network,
     "engines that end at random, and a popular proper request": end_at_random,
     "no leader for 2 s": lose_leader,
     "a cold restart of all gateways": restart_gateways,
     "a gateway that starts later": start_later,
     "a relay that is cut off": cut_relay,
-    "a new leader without a copy": lead_anew,
+    "a new leader without a copy": elect_leader_without_copy,
 }
 
 
