--- a/features/gateway/promises.feature
+++ b/features/gateway/promises.feature
@@ -14,7 +14,7 @@
 
   Scenario Outline: A <kind> request whose endpoint restarts during the send
     When a <kind> request is at an endpoint that restarts under its name
-    Then the caller gets <status> and the response is whole
+    Then the caller gets <status> and the response is complete
     And <sends> sends were made
     And the answer came within 1 s
 
@@ -27,20 +27,20 @@
   # restart became known only after the send.
   Scenario: A stream stays at an endpoint whose restart becomes known later
     When a stream pauses for 0.5 s at an endpoint whose restart becomes known 0.05 s after the send
-    Then the caller gets 200 and the response is whole
+    Then the caller gets 200 and the response is complete
     And the events are 1 2 3 4
     And 1 sends were made
 
   Scenario: An unsafe request is not sent again after a restart
     When an unsafe request is at an endpoint that restarts under its name
-    Then the caller gets 504 and the response is whole
+    Then the caller gets 504 and the response is complete
     And 1 sends were made
 
   # Guards against cutting off streams of endpoints that are only slow: the send was
   # cancelled before it was known that no other endpoint may be tried.
   Scenario Outline: A stream whose endpoint pauses continues there if <hindrance>
     When a stream pauses for 1.3 s at its endpoint while <hindrance>
-    Then the caller gets 200 and the response is whole
+    Then the caller gets 200 and the response is complete
     And the events are 1 2 3 4
     And 1 sends were made
 
@@ -52,13 +52,13 @@
 
   Scenario: A stream whose endpoint pauses continues at another endpoint
     When a stream pauses for 1.3 s at its endpoint while another one runs
-    Then the caller gets 200 and the response is whole
+    Then the caller gets 200 and the response is complete
     And the events are 1 2 3 4
     And 2 sends were made
 
   Scenario: A prompt that was held during the start is not shed for the wait
     When a prompt is held for 0.5 s beside 6 late ones, and 8 batch slots are free
-    Then the caller gets 200 and the response is whole
+    Then the caller gets 200 and the response is complete
 
   # Guards against a version that fails to apply and so ends the watch, which
   # would bring the next version.
--- a/features/gateway/requests.feature
+++ b/features/gateway/requests.feature
@@ -2,65 +2,65 @@
 
   Scenario Outline: A <kind> request at endpoints that <first>, then <second>
     When a <kind> request meets endpoints that <first> and then <second>
-    Then the caller gets <status> and the response is <whole>
+    Then the caller gets <status> and the response is <completeness>
     And <sends> sends were made
     And at most 2 endpoints ran it
 
     Examples: a request that did not run may be sent again, whatever its kind
-      | kind   | first  | second | status | whole | sends |
-      | safe   | answer | answer | 200    | whole | 1     |
-      | unsafe | answer | answer | 200    | whole | 1     |
-      | safe   | reject | answer | 200    | whole | 2     |
-      | unsafe | reject | answer | 200    | whole | 2     |
+      | kind   | first  | second | status | completeness | sends |
+      | safe   | answer | answer | 200    | complete     | 1     |
+      | unsafe | answer | answer | 200    | complete     | 1     |
+      | safe   | reject | answer | 200    | complete     | 2     |
+      | unsafe | reject | answer | 200    | complete     | 2     |
 
     Examples: a request that may have run is sent again only if it may run twice
-      | kind   | first        | second | status | whole | sends |
-      | safe   | reset        | answer | 200    | whole | 2     |
-      | unsafe | reset        | answer | 502    | whole | 1     |
-      | safe   | truncate     | answer | 200    | whole | 2     |
-      | unsafe | truncate     | answer | 502    | whole | 1     |
-      | safe   | misattribute | answer | 200    | whole | 2     |
-      | unsafe | misattribute | answer | 502    | whole | 1     |
-      | safe   | unsigned     | answer | 200    | whole | 2     |
-      | unsafe | unsigned     | answer | 502    | whole | 1     |
-      | safe   | encoded      | answer | 200    | whole | 2     |
-      | safe   | fail         | answer | 200    | whole | 2     |
-      | unsafe | fail         | answer | 500    | whole | 1     |
-      | safe   | fail         | fail   | 500    | whole | 2     |
-      | safe   | fail         | reset, then answer | 500 | whole | 2 |
-      | unsafe | reject       | fail   | 500    | whole | 2     |
-      | safe   | reset        | reset  | 502    | whole | 2     |
-      | safe   | reject       | reset  | 502    | whole | 3     |
-      | unsafe | reject       | reset  | 502    | whole | 2     |
-      | unsafe | reject       | truncate | 502  | whole | 2     |
+      | kind   | first        | second             | status | completeness | sends |
+      | safe   | reset        | answer             | 200    | complete     | 2     |
+      | unsafe | reset        | answer             | 502    | complete     | 1     |
+      | safe   | truncate     | answer             | 200    | complete     | 2     |
+      | unsafe | truncate     | answer             | 502    | complete     | 1     |
+      | safe   | misattribute | answer             | 200    | complete     | 2     |
+      | unsafe | misattribute | answer             | 502    | complete     | 1     |
+      | safe   | unsigned     | answer             | 200    | complete     | 2     |
+      | unsafe | unsigned     | answer             | 502    | complete     | 1     |
+      | safe   | encoded      | answer             | 200    | complete     | 2     |
+      | safe   | fail         | answer             | 200    | complete     | 2     |
+      | unsafe | fail         | answer             | 500    | complete     | 1     |
+      | safe   | fail         | fail               | 500    | complete     | 2     |
+      | safe   | fail         | reset, then answer | 500    | complete     | 2     |
+      | unsafe | reject       | fail               | 500    | complete     | 2     |
+      | safe   | reset        | reset              | 502    | complete     | 2     |
+      | safe   | reject       | reset              | 502    | complete     | 3     |
+      | unsafe | reject       | reset              | 502    | complete     | 2     |
+      | unsafe | reject       | truncate           | 502    | complete     | 2     |
 
     Examples: an endpoint that stops responding
-      | kind   | first | second | status | whole | sends |
-      | safe   | hang  | answer | 200    | whole | 2     |
-      | unsafe | hang  | answer | 504    | whole | 1     |
-      | safe   | hang  | hang   | 504    | whole | 2     |
-      | stream | hang  | stream | 200    | whole | 2     |
-      | stream | hang  | hang   | 504    | whole | 2     |
+      | kind   | first | second | status | completeness | sends |
+      | safe   | hang  | answer | 200    | complete     | 2     |
+      | unsafe | hang  | answer | 504    | complete     | 1     |
+      | safe   | hang  | hang   | 504    | complete     | 2     |
+      | stream | hang  | stream | 200    | complete     | 2     |
+      | stream | hang  | hang   | 504    | complete     | 2     |
 
     Examples: unusual but complete responses
-      | kind   | first    | second | status | whole | sends |
-      | safe   | unframed | answer | 200    | whole | 1     |
-      | unsafe | unframed | answer | 200    | whole | 1     |
-      | unsafe | twice    | answer | 200    | whole | 1     |
+      | kind   | first    | second | status | completeness | sends |
+      | safe   | unframed | answer | 200    | complete     | 1     |
+      | unsafe | unframed | answer | 200    | complete     | 1     |
+      | unsafe | twice    | answer | 200    | complete     | 1     |
 
   Scenario Outline: A stream whose endpoint will <first>, then <second>
     When a stream request meets endpoints that <first> and then <second>
-    Then the caller gets 200 and the response is <whole>
+    Then the caller gets 200 and the response is <completeness>
     And the events are <events>
 
     Examples:
-      | first        | second       | whole  | events  |
-      | stream       | stream       | whole  | 1 2 3 4 |
-      | die in event | stream       | whole  | 1 2 3 4 |
-      | reset        | stream       | whole  | 1 2 3 4 |
-      | die in event | reset        | broken | 1 2     |
-      | stall        | stream       | whole  | 1 2 3 4 |
-      | stall        | hang         | broken | 1 2     |
+      | first        | second | completeness | events  |
+      | stream       | stream | complete     | 1 2 3 4 |
+      | die in event | stream | complete     | 1 2 3 4 |
+      | reset        | stream | complete     | 1 2 3 4 |
+      | die in event | reset  | truncated    | 1 2     |
+      | stall        | stream | complete     | 1 2 3 4 |
+      | stall        | hang   | truncated    | 1 2     |
 
   Scenario Outline: A <kind> request with <fault> is refused at once
     When a <kind> request comes with <fault>
@@ -89,7 +89,7 @@
 
   Scenario: A second response on a reused connection is discarded
     When two safe requests follow each other and the first is answered twice
-    Then the caller gets 200 and the response is whole
+    Then the caller gets 200 and the response is complete
     And 2 sends were made
 
   Scenario Outline: A gateway that has just started holds a request briefly
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -106,11 +106,11 @@
         return next(self.acts)
 
 
-@then("the caller gets {status:d} and the response is {whole}")
-def gets(context, status, whole):
+@then("the caller gets {status:d} and the response is {completeness}")
+def gets(context, status, completeness):
     response = context.answer
     assert response.status == status, response
-    assert response.whole == (whole == "whole"), response
+    assert response.whole == (completeness == "complete"), response
 
 
 @then("{count:d} sends were made")
