--- a/benchmarks/poisons.py
+++ b/benchmarks/poisons.py
@@ -75,7 +75,7 @@
         crashworld.fleet(pattern.gateways, pattern.engines, seed) as bed,
     ):
         world, go = bed
-        crashhistories.play_beside_popular(
+        crashhistories.send_beside_popular(
             world, go, pattern.poisons, pattern.every_s, pattern.popular
         )
         entries = set(world.state.quarantine.entries)
--- a/features/steps/crashledger_steps.py
+++ b/features/steps/crashledger_steps.py
@@ -35,7 +35,7 @@
 
 
 @then("the culprits are: {names}")
-def convicted_are(context, names):
+def check_culprits(context, names):
     wanted = [] if names == "nothing" else names.split()
     found = set(context.culprits)
     assert found == {
@@ -83,7 +83,7 @@
 
 
 @when("the first of the poison requests is a known culprit")
-def first_convicted(context):
+def make_first_culprit(context):
     context.culprits = ledgerpatterns.culprits_of(context.ledger, "poison0")
 
 
--- a/features/steps/proofs_steps.py
+++ b/features/steps/proofs_steps.py
@@ -53,10 +53,10 @@
 
     def receive(self, requested: int, reply: watching.News) -> None:
         """Apply a response to a request from a given version."""
-        poll_request = attrs.evolve(
+        request = attrs.evolve(
             self.watch.next_request(), routes_version=requested
         )
-        self.watch.apply_response(poll_request, reply, REQUESTED_AT_S)
+        self.watch.apply_response(request, reply, REQUESTED_AT_S)
 
     @property
     def version(self) -> int:
@@ -70,7 +70,7 @@
 
     @property
     def next_base_version(self) -> int:
-        """Return the version from which the next request asks for changes."""
+        """Return the version on which the next request bases its changes."""
         return self.watch.next_request().routes_version
 
 
@@ -101,7 +101,7 @@
 
     @property
     def next_base_version(self) -> int:
-        """Return the version from which the next request asks for changes."""
+        """Return the version on which the next request bases its changes."""
         return self.watch_cache.next_request(REQUESTED_AT_S, 0.0).routes_version
 
 
@@ -309,8 +309,8 @@
 }
 
 
-@when('the proof defect "{label}" is planted')
-def plant_defect(context, label):
+@when('the proof defect "{label}" is injected')
+def inject_defect(context, label):
     context.defect = DEFECTS[label]
 
 
--- a/features/steps/startshare_steps.py
+++ b/features/steps/startshare_steps.py
@@ -64,7 +64,7 @@
             )
 
 
-@then("at most {queued:d} in 100 prompts meet a full engine")
+@then("at most {queued:d} in 100 prompts are sent to a full engine")
 def meet_full(context, queued):
     over = sum(max(0, got - SLOTS) for got in context.received.values())
     sent = sum(context.received.values())
--- a/features/steps/whole_path_steps.py
+++ b/features/steps/whole_path_steps.py
@@ -62,8 +62,8 @@
     assert context.exit_code == code, context.exit_code
 
 
-@step("version {version:d} comes into force at every entry")
-def check_in_force(context, version):
+@step("every entry applies version {version:d}")
+def check_version_applied(context, version):
     outcome = context.fleet.ctl("config", "watch", str(version))
     assert outcome.returncode == 0, outcome.stdout
 
--- a/features/support/relayhistories.py
+++ b/features/support/relayhistories.py
@@ -132,11 +132,11 @@
         self.world = world
 
     def version(self, _place):
-        """Put a version in force."""
+        """Apply a version."""
         self.world.put_version()
 
     def storm(self, _place):
-        """Put several versions in force in a row."""
+        """Apply several versions in a row."""
         for _ in range(5):
             self.world.put_version()
 
@@ -184,7 +184,7 @@
         )
 
     def gateway_dies(self, index):
-        """Stop a gateway for good, unless only two are left."""
+        """Stop a gateway permanently, unless only two are left."""
         if len(self.world.gateways) > 2:
             names = sorted(self.world.gateways)
             self.end_gateway(names[index % len(names)])
