--- a/Makefile
+++ b/Makefile
@@ -12,7 +12,7 @@
 demo: $(VENV)/installed
 	$(PYTHON) examples/demo.py
 
-# Processes that run features beside each other.
+# Number of processes that run features in parallel.
 JOBS ?= $(shell nproc)
 test: $(VENV)/installed
 	$(PYTHON) -m features.support.parallel --jobs $(JOBS)
@@ -25,7 +25,7 @@
 	$(PYTHON) -m ruff check --fix --quiet $(SOURCES)
 	$(PYTHON) -m pyink --quiet $(SOURCES)
 
-# Fresh seeds each time; COUNT=50 runs fifty.
+# Runs COUNT soak tests with new random seeds, for example COUNT=50.
 COUNT ?= 3
 soak: $(VENV)/installed
 	$(PYTHON) -m features.soak.run --count $(COUNT) --keep build/soak
