--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -44,7 +44,7 @@
         "splitting",
         "prompts are read by one engine",
         (
-            SOURCES + "core/spread.py",
+            SOURCES + "core/engineplacement.py",
             "MIN_SPLIT_TOKENS = 10_000",
             "MIN_SPLIT_TOKENS = 10**9",
         ),
@@ -95,7 +95,7 @@
         "an endpoint that failed is used like the others",
         (
             SOURCES + "core/endpointset.py",
-            "        known.rest_until = now + rest_s\n",
+            "        known.ejected_until = now + ejection_s\n",
             "",
         ),
     ),
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -12,9 +12,9 @@
 from absl import flags
 
 from _coltsfootroad.core import endpointset
+from _coltsfootroad.core import engineplacement
 from _coltsfootroad.core import registry
 from _coltsfootroad.core import routes
-from _coltsfootroad.core import spread
 from _coltsfootroad.core import work as work_lib
 from _coltsfootroad.core import workload
 from _coltsfootroad.gateway import engines as engines_lib
@@ -61,7 +61,7 @@
     rng = random.Random(1)
     endpoints, load = fleet(count, rng)
     chooser = engines_lib.Chooser(endpoints, load, "", rng)
-    prompt = spread.Prompt(
+    prompt = engineplacement.Prompt(
         prompt_tokens=tokens,
         output_tokens=1_700,
         target_s=0.3 if tokens < 10_000 else 4.0,
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -16,11 +16,11 @@
 
 from _coltsfootroad.core import candidates
 from _coltsfootroad.core import endpointset
+from _coltsfootroad.core import engineplacement
 from _coltsfootroad.core import patience
 from _coltsfootroad.core import registry
 from _coltsfootroad.core import routes
 from _coltsfootroad.core import shedding
-from _coltsfootroad.core import spread
 from _coltsfootroad.core import urgency
 from _coltsfootroad.core import work as work_lib
 from _coltsfootroad.gateway import engines as engines_lib
@@ -34,10 +34,10 @@
 IN_USE = flags.DEFINE_integer("in_use", 1, "Gateways in use.")
 FULL = flags.DEFINE_bool("full", False, "Compare all engines.")
 # Bounds that no load reaches.
-EVERYTHING = candidates.Limits(
-    drawn=10**6,
-    long=candidates.Places(idle=10**6, writing=0, reading=0),
-    short=candidates.Places(idle=10**6, writing=0, reading=0),
+EVERYTHING = candidates.CandidateLimits(
+    sampled=10**6,
+    long=candidates.CandidateCounts(idle=10**6, decoding=0, prefilling=0),
+    short=candidates.CandidateCounts(idle=10**6, decoding=0, prefilling=0),
 )
 # The value of one prompt grows with its size up to this many times the mean.
 MAX_SIZE_VALUE = 4.0
@@ -109,8 +109,8 @@
     """Return one arrival of a class."""
 
     def size(mean, sigma, most):
-        drawn = mean * numpy.exp(sigma * rng.normal() - sigma**2 / 2)
-        return int(max(1, min(most, drawn)))
+        sampled = mean * numpy.exp(sigma * rng.normal() - sigma**2 / 2)
+        return int(max(1, min(most, sampled)))
 
     prompt = size(length.prompt, length.prompt_spread, length.prompt_max)
     events = size(length.events, length.events_spread, 2.5 * length.events)
@@ -141,7 +141,7 @@
     views: views_lib.Views = attrs.field(init=False)
     keys: itertools.count = attrs.Factory(itertools.count)
     endpoints: endpointset.EndpointSet = attrs.Factory(endpointset.EndpointSet)
-    limits: candidates.Limits = candidates.USUAL
+    limits: candidates.CandidateLimits = candidates.DEFAULT_LIMITS
     choosers: list[engines_lib.Chooser] = attrs.field(init=False)
     service: routes.ServiceSpec = attrs.field(init=False)
     engines: list[batchengine.BatchEngine] = attrs.Factory(list)
@@ -225,7 +225,7 @@
 
     def send(self, arrival: Arrival, now: float) -> float | None:
         """Place one request and send it, or say when to come back."""
-        prompt = spread.Prompt(
+        prompt = engineplacement.Prompt(
             prompt_tokens=arrival.job.prompt_tokens,
             output_tokens=arrival.job.output_tokens,
             target_s=arrival.length.target_s,
@@ -287,7 +287,7 @@
 def gains(
     load: mixes.Load,
     seeds: int,
-    limits: candidates.Limits = candidates.USUAL,
+    limits: candidates.CandidateLimits = candidates.DEFAULT_LIMITS,
     cut_s: float = float("inf"),
     gateways: int = 1,
 ) -> dict[str, float]:
@@ -311,7 +311,7 @@
 
 def main(_: list[str]) -> None:
     """Play the loads."""
-    limits = EVERYTHING if FULL.value else candidates.USUAL
+    limits = EVERYTHING if FULL.value else candidates.DEFAULT_LIMITS
     for load in mixes.ALL_LOADS:
         if not LOADS.value or load.name in LOADS.value:
             found = gains(load, PLAYS.value, limits, CUT_S.value, IN_USE.value)
--- a/features/soak/endpoints.py
+++ b/features/soak/endpoints.py
@@ -161,7 +161,7 @@
     endpoint: SoakEndpoint | None = None
     generation: int = 0
     seq: int = 0
-    incarnation: int = registry.UNMARKED
+    incarnation: int = registry.NO_INCARNATION
     state: registry.EndpointState = registry.EndpointState.SERVING
     announcer: asyncio.Task | None = None
     poisoned: asyncio.Task | None = None
@@ -237,7 +237,7 @@
                 self.book.left[endpoint.start_mark] = time.monotonic()
                 break
         await asyncio.sleep(audit.DRAIN_S + audit.SLACK_S)
-        await self.tell(registry.signed_off(endpoint.name))
+        await self.tell(registry.sign_off_announcement(endpoint.name))
         endpoint.server.close()
 
     async def crash(self, down_s: float) -> None:
--- a/features/steps/batchengine_steps.py
+++ b/features/steps/batchengine_steps.py
@@ -7,9 +7,9 @@
 from behave import when
 import numpy
 
+from _coltsfootroad.core import engineplacement
 from _coltsfootroad.core import enginestate
 from _coltsfootroad.core import shedding
-from _coltsfootroad.core import spread
 from _coltsfootroad.core import work as work_lib
 from _coltsfootroad.replay import batchengine
 from benchmarks import mixes
@@ -128,7 +128,7 @@
 
 @then("reading for {extra:g} s more loses {lost:g}")
 def loses(context, extra, lost):
-    found = context.state.harm(extra)
+    found = context.state.value_lost_by(extra)
     assert found == lost, found
 
 
@@ -142,10 +142,10 @@
 
 @then("a short prompt's first event is predicted {when_} its aim")
 def predicted_within(context, when_):
-    prompt = spread.Prompt(
+    prompt = engineplacement.Prompt(
         prompt_tokens=5_000, output_tokens=1_600, target_s=0.3, gap_target_s=0.2
     )
-    found = spread.place(prompt, [context.state], SPEC)
+    found = engineplacement.place(prompt, [context.state], SPEC)
     assert (found.first_event_s <= 0.3) == (when_ == "within"), found
 
 
--- a/features/steps/bounds_steps.py
+++ b/features/steps/bounds_steps.py
@@ -116,8 +116,8 @@
     """Return how many gone endpoints are remembered of many."""
     endpoints = endpointset.EndpointSet()
     for number in range(9_000):
-        endpoints.bury(f"e{number}", 1)
-    return len(endpoints.buried)
+        endpoints.add_tombstone(f"e{number}", 1)
+    return len(endpoints.tombstones)
 
 
 def announcement(name: str) -> registry.Announcement:
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -11,9 +11,9 @@
 
 from _coltsfootroad.core import candidates
 from _coltsfootroad.core import endpointset
+from _coltsfootroad.core import engineplacement
 from _coltsfootroad.core import registry
 from _coltsfootroad.core import routes
-from _coltsfootroad.core import spread
 from _coltsfootroad.core import work as work_lib
 from _coltsfootroad.core import workload
 from _coltsfootroad.gateway import engines as engines_lib
@@ -28,10 +28,10 @@
 LENGTHS = {"short": 5_000, "long": 300_000}
 
 
-def prompt_of(tokens: int) -> spread.Prompt:
+def prompt_of(tokens: int) -> engineplacement.Prompt:
     """Return a prompt of a length with the aims of its kind."""
     short = tokens < 10_000
-    return spread.Prompt(
+    return engineplacement.Prompt(
         prompt_tokens=tokens,
         output_tokens=800,
         target_s=0.3 if short else 4.0,
@@ -251,12 +251,12 @@
 
 @when("engines are picked for a {length} prompt")
 def picked(context, length):
-    limits = candidates.USUAL
+    limits = candidates.DEFAULT_LIMITS
     places = limits.short if length == "short" else limits.long
-    drawn_ones = candidates.draw(
-        context.endpoints.of_service("s"), 10.0, set(), random.Random(3)
+    drawn_ones = candidates.sample_endpoints(
+        context.endpoints.serving_endpoints("s"), 10.0, set(), random.Random(3)
     )
-    context.picked = candidates.pick(
+    context.picked = candidates.select_candidates(
         drawn_ones, context.load.index, places, "z0", SPEC.slots
     )
     names = [one.name for one in context.picked]
@@ -309,7 +309,7 @@
         if number % 3 == 0:
             context.endpoints.on_failure(name, 10.0, True)
         elif number % 3 == 1:
-            context.endpoints.learn(registry.signed_off(name, 1))
+            context.endpoints.learn(registry.sign_off_announcement(name, 1))
         else:
             context.endpoints.expire(name)
 
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -61,7 +61,9 @@
     if act == "leave, then end":
         bed.announce(endpoint, state=registry.EndpointState.LEAVING, seq=2)
     elif act == "sign off, then end":
-        bed.gateway.learn_endpoint(registry.signed_off(endpoint.name, 1))
+        bed.gateway.learn_endpoint(
+            registry.sign_off_announcement(endpoint.name, 1)
+        )
     elif act == "restart under its name":
         bed.announce(endpoint, incarnation=2)
     if act in ("crash", "leave, then end", "sign off, then end"):
--- a/features/steps/crashledger_steps.py
+++ b/features/steps/crashledger_steps.py
@@ -31,13 +31,13 @@
             ledger.record(report, 4 * ledgerpatterns.STEP_S)
     else:
         ledger = ledgerpatterns.ledger_of(ledgerpatterns.PATTERNS[pattern])
-    context.convicted = ledgerpatterns.convicted_by(ledger)
+    context.culprits = ledgerpatterns.convicted_by(ledger)
 
 
 @then("convicted are: {names}")
 def convicted_are(context, names):
     wanted = [] if names == "nothing" else names.split()
-    found = set(context.convicted)
+    found = set(context.culprits)
     assert found == {ledgerpatterns.print_of(name) for name in wanted}, found
 
 
@@ -47,7 +47,7 @@
         2, "poison", "bystander", first=1
     )
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.convicted_by(context.ledger)
 
 
 @when("the bystander meets another crash")
@@ -56,7 +56,7 @@
     context.ledger.record(
         ledgerpatterns.crash(9, at, bystander=at - ledgerpatterns.RUN_S), at
     )
-    context.convicted += ledgerpatterns.convicted_by(context.ledger, "poison")
+    context.culprits += ledgerpatterns.convicted_by(context.ledger, "poison")
 
 
 @when(
@@ -68,26 +68,26 @@
     if kind == "stream":
         reports = ledgerpatterns.writing(reports, "popular")
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = []
+    context.culprits = []
 
 
 @when("one more under the popular request, which an observer has missed")
 def missed(context):
     (report,) = ledgerpatterns.in_a_row(1, "popular", first=8)
     context.ledger.record(report, report.at)
-    context.convicted = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.convicted_by(context.ledger)
 
 
 @when("the first of the poison requests is convicted")
 def first_convicted(context):
-    context.convicted = ledgerpatterns.convicted_by(context.ledger, "poison0")
+    context.culprits = ledgerpatterns.convicted_by(context.ledger, "poison0")
 
 
 @when("two endpoints crash under poison and a popular request")
 def two_crashes(context):
     reports = ledgerpatterns.in_a_row(2, "poison", "popular")
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = []
+    context.culprits = []
 
 
 @when(
@@ -99,9 +99,7 @@
         if name != "nobody":
             sent = {name: at - ledgerpatterns.RUN_S}
             context.ledger.record(ledgerpatterns.crash(2, at, **sent), now)
-        context.convicted += ledgerpatterns.convicted_by(
-            context.ledger, now=now
-        )
+        context.culprits += ledgerpatterns.convicted_by(context.ledger, now=now)
 
 
 @when(
@@ -112,7 +110,7 @@
     context.ledger.record(
         ledgerpatterns.crash(9, at, popular=at - ledgerpatterns.RUN_S), at
     )
-    context.convicted += ledgerpatterns.convicted_by(
+    context.culprits += ledgerpatterns.convicted_by(
         context.ledger, "poison", now=at + gap
     )
 
@@ -124,18 +122,18 @@
 def five_explained(context):
     reports = ledgerpatterns.in_a_row(3, "poison")
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.convicted_by(context.ledger)
     for report in ledgerpatterns.in_a_row(5, "poison", "popular", first=3):
         context.ledger.record(report, report.at)
         found = ledgerpatterns.convicted_by(context.ledger, "poison")
-        context.convicted += found
+        context.culprits += found
 
 
 @when("two more endpoints crash under the popular request alone")
 def two_alone(context):
     for report in ledgerpatterns.in_a_row(2, "popular", first=8):
         context.ledger.record(report, report.at)
-    context.convicted += ledgerpatterns.convicted_by(context.ledger, "poison")
+    context.culprits += ledgerpatterns.convicted_by(context.ledger, "poison")
 
 
 @when(
@@ -146,7 +144,7 @@
     reports = ledgerpatterns.in_a_row(4, "poison", "popular")
     reports += ledgerpatterns.in_a_row(1, "poison", first=4)
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.convicted_by(context.ledger)
 
 
 @when(
@@ -165,7 +163,7 @@
         else:
             ledger.record(crash, at)
             ledger.note_stopped(stop)
-    context.convicted += ledgerpatterns.convicted_by(ledger, "poison")
+    context.culprits += ledgerpatterns.convicted_by(ledger, "poison")
 
 
 @when(
@@ -184,7 +182,7 @@
     reports = [unknown, again] if when == "before" else [again, unknown]
     for report in reports:
         context.ledger.record(report, at)
-    context.convicted += ledgerpatterns.convicted_by(context.ledger)
+    context.culprits += ledgerpatterns.convicted_by(context.ledger)
 
 
 @then("no suspect is counted at a crash before it was sent")
@@ -192,7 +190,7 @@
     for crash in context.ledger.known.values():
         for suspect in crash.suspects.values():
             late_s = suspect.sent_at - crash.at
-            assert late_s <= crashrecord.ORDER_SLACK_S, (crash.at, suspect)
+            assert late_s <= crashrecord.CLOCK_SLACK_S, (crash.at, suspect)
 
 
 @when(
@@ -203,7 +201,7 @@
     reports = ledgerpatterns.in_a_row(4, "poison", "popular")
     reports += ledgerpatterns.in_a_row(1, "popular", "other", first=4)
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.convicted = []
+    context.culprits = []
 
 
 @when("{names} are answered {after:g} s later")
@@ -211,9 +209,7 @@
     now = 4 * ledgerpatterns.STEP_S + after
     for name in names.split(" and "):
         context.ledger.clear(ledgerpatterns.print_of(name), now)
-        context.convicted += ledgerpatterns.convicted_by(
-            context.ledger, now=now
-        )
+        context.culprits += ledgerpatterns.convicted_by(context.ledger, now=now)
 
 
 @then("any order of {count:d} reports convicts the same request")
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -13,12 +13,12 @@
 from _coltsfootroad.core import candidates
 from _coltsfootroad.core import endpointset
 from _coltsfootroad.core import enginemodel
+from _coltsfootroad.core import engineplacement
 from _coltsfootroad.core import enginestate
 from _coltsfootroad.core import eventstream
 from _coltsfootroad.core import registry
 from _coltsfootroad.core import routes
 from _coltsfootroad.core import routeview
-from _coltsfootroad.core import spread
 from _coltsfootroad.core import urgency
 from _coltsfootroad.core import windowbudget
 from _coltsfootroad.core import work as work_lib
@@ -31,10 +31,10 @@
 # An engine of the size that the platform's deployments state: a pass of 46
 # steps with writers takes 45 ms, and 256,000 prompt tokens a second are read.
 ENGINE = mixes.spec(8, 450_000, 46)
-SHORT = spread.Prompt(
+SHORT = engineplacement.Prompt(
     prompt_tokens=5_000, output_tokens=1_600, target_s=0.3, gap_target_s=0.2
 )
-LONG = spread.Prompt(
+LONG = engineplacement.Prompt(
     prompt_tokens=210_000, output_tokens=800, target_s=3.0, gap_target_s=0.8
 )
 
@@ -416,7 +416,7 @@
                 state=registry.EndpointState(word),
             )
         )
-    used = bool(endpoints.of_service("s"))
+    used = bool(endpoints.serving_endpoints("s"))
     assert used == (state == "used"), endpoints
 
 
@@ -461,7 +461,9 @@
         "million": attrs.evolve(LONG, prompt_tokens=1_000_000),
     }
     context.prompt = prompts[size]
-    context.placement = spread.place(context.prompt, context.states, ENGINE)
+    context.placement = engineplacement.place(
+        context.prompt, context.states, ENGINE
+    )
 
 
 @then("it goes to {wanted}")
@@ -473,12 +475,12 @@
 def no_harm(context):
     found = context.placement
     chosen = {found.lead, *found.helpers}
-    part_s = enginemodel.read_s(
+    part_s = enginemodel.prefill_s(
         ENGINE, context.prompt.prompt_tokens, len(chosen)
     )
     for state in context.states:
         if state.endpoint in chosen:
-            assert not state.harm(part_s), found
+            assert not state.value_lost_by(part_s), found
 
 
 @then("its first event is predicted within {seconds:g} s")
@@ -490,7 +492,9 @@
 def memory_held(context):
     held = sum(tokens for _, tokens in context.placement.tickets)
     rest = context.prompt.prompt_tokens + context.prompt.output_tokens - held
-    assert held and rest <= ENGINE.kv_tokens - spread.SPARE_TOKENS
+    assert (
+        held and rest <= ENGINE.kv_tokens - engineplacement.RESERVED_KV_TOKENS
+    )
     names = [name for name, _ in context.placement.tickets]
     assert set(names) <= set(context.placement.helpers)
 
@@ -579,8 +583,8 @@
         )
     for _ in range(count):
         endpoints.on_failure("e", 10.0, kind == "unreachable")
-    drawn = candidates.draw(
-        endpoints.of_service("s"), 10.1, set(), random.Random(1)
+    drawn = candidates.sample_endpoints(
+        endpoints.serving_endpoints("s"), 10.1, set(), random.Random(1)
     )
     usable = [known.name for known in drawn]
     assert ("e" in usable) == (state == "used"), usable
@@ -603,17 +607,17 @@
 
 @then("it will read for {least:g} to {most:g} s more")
 def will_read(context, least, most):
-    left = enginestate.reading_left_s(context.works, ENGINE, 10.0)
+    left = enginestate.remaining_prefill_s(context.works, ENGINE, 10.0)
     assert least <= left <= most, left
 
 
 @then("an engine with 10 streams answers later than one with 7 by {least:g} s")
 def answers_later(context, least):
     full, free = states([10, 7])
-    part_s = enginemodel.read_s(ENGINE, 5_000)
-    gap = spread.event_s(full, ENGINE, part_s) - spread.event_s(
-        free, ENGINE, part_s
-    )
+    part_s = enginemodel.prefill_s(ENGINE, 5_000)
+    gap = engineplacement.predict_first_event_s(
+        full, ENGINE, part_s
+    ) - engineplacement.predict_first_event_s(free, ENGINE, part_s)
     assert gap >= least, gap
 
 
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -33,7 +33,7 @@
         state=registry.EndpointState.SERVING,
     )
     return endpointset.KnownEndpoint(
-        announcement, rest_until=DOWN_UNTIL if is_down else 0.0
+        announcement, ejected_until=DOWN_UNTIL if is_down else 0.0
     )
 
 
@@ -69,7 +69,7 @@
 
 @then("each suspect has an engine that runs")
 def each_has(context):
-    running = {e.name for e in context.engines if e.rest_until <= NOW}
+    running = {e.name for e in context.engines if e.ejected_until <= NOW}
     for number in range(len(context.suspects)):
         found = selected(context, number)
         assert found and found <= running, (number, found)
@@ -77,13 +77,13 @@
 
 @then("nothing is isolated")
 def none_isolated(context):
-    assert not context.isolation.isolates(context.suspects[0])
+    assert not context.isolation.is_isolated(context.suspects[0])
 
 
 @then("only suspects are isolated")
 def only_suspects(context):
-    assert all(map(context.isolation.isolates, context.suspects))
-    assert not context.isolation.isolates(print_of(-1))
+    assert all(map(context.isolation.is_isolated, context.suspects))
+    assert not context.isolation.is_isolated(print_of(-1))
 
 
 @given(
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -12,9 +12,9 @@
 from _coltsfootroad.control import state as state_lib
 from _coltsfootroad.control import watching
 from _coltsfootroad.core import addresses
+from _coltsfootroad.core import engineplacement
 from _coltsfootroad.core import enginestate
 from _coltsfootroad.core import registry
-from _coltsfootroad.core import spread
 from _coltsfootroad.core import work as work_lib
 from _coltsfootroad.gateway import gossip
 from _coltsfootroad.gateway import upstream
@@ -218,7 +218,7 @@
 @then("a prompt that leaves {left:d} tokens free is held by two engines")
 def shared(context, left):
     spec = mixes.spec(8, 450_000, 46)
-    prompt = spread.Prompt(
+    prompt = engineplacement.Prompt(
         prompt_tokens=spec.kv_tokens - left,
         output_tokens=0,
         target_s=15.0,
@@ -227,6 +227,6 @@
     states = [
         enginestate.engine_state(f"e{n}", [], spec, 0.0) for n in range(3)
     ]
-    found = spread.place(prompt, states, spec)
+    found = engineplacement.place(prompt, states, spec)
     assert len(found.tickets) == 1, found
     assert attrs.asdict(found)["lead"] not in dict(found.tickets)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -97,7 +97,7 @@
 
 @then("signing off has a higher number than any heartbeat")
 def signing_off(context):
-    assert instances.signed_off("i-1", b"").ok.seq > 2**53
+    assert instances.sign_off_announcement("i-1", b"").ok.seq > 2**53
 
 
 def heartbeat_with(field: str, value) -> bytes:
@@ -123,12 +123,14 @@
     found = instances.decode("i-1", heartbeat_with("born", stated))
     assert found.ok.incarnation == int(start), found
     body = b"" if stated is None else f'{{"born": {born}}}'.encode()
-    assert instances.signed_off("i-1", body).ok.incarnation == int(start)
+    assert instances.sign_off_announcement("i-1", body).ok.incarnation == int(
+        start
+    )
 
 
 DECODERS = {
     "a heartbeat": lambda body: instances.decode("i-1", body),
-    "a sign-off": lambda body: instances.signed_off("i-1", body),
+    "a sign-off": lambda body: instances.sign_off_announcement("i-1", body),
     "a configuration": configuration.decode,
 }
 JSON_VALUES = strategies.recursive(
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -154,7 +154,7 @@
         await world.run(seconds)
         task.cancel()
         world.fixed = True
-        while world.now < context.began_at + 2 * quarantine.FIRST_TERM_S:
+        while world.now < context.began_at + 2 * quarantine.FIRST_TRIAL_DELAY_S:
             answer = await world.ask(body, world.poisons[body])
             context.answers.append((world.now, answer.status))
             await world.run(0.2)
@@ -164,7 +164,7 @@
 
 @then("it is refused for {seconds:g} s in all, and answered from then on")
 def refused_then_answered(context, seconds):
-    assert seconds == quarantine.FIRST_TERM_S
+    assert seconds == quarantine.FIRST_TRIAL_DELAY_S
     until = context.began_at + seconds
     early = {status for at, status in context.answers if at < until}
     late = {status for at, status in context.answers if at > until + 1.0}
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -259,7 +259,7 @@
     for _ in range(15):
         context.go(0.1)
         for name, gateway in context.world.gateways.items():
-            found = gateway.endpoints.of_service("s")
+            found = gateway.endpoints.serving_endpoints("s")
             assert len(found) == count, (name, len(found))
 
 
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -64,7 +64,9 @@
 
     def used(self) -> tuple[bool, bool]:
         """Return whether the endpoint is used, there and here."""
-        return is_used(self.hub), bool(self.endpoints.of_service(SERVICE))
+        return is_used(self.hub), bool(
+            self.endpoints.serving_endpoints(SERVICE)
+        )
 
 
 def new_hub(now: float) -> hub_lib.Hub:
@@ -96,7 +98,9 @@
     """Return what a word of the feature stands for."""
     mark, _, state = word.rpartition(" ")
     if state == "off":
-        return registry.signed_off(NAME, int(mark or registry.UNMARKED))
+        return registry.sign_off_announcement(
+            NAME, int(mark or registry.NO_INCARNATION)
+        )
     start, _, seq = mark.partition(".")
     return registry.Announcement(
         endpoint=NAME,
@@ -125,7 +129,7 @@
 def other_leader(context, word):
     context.other = new_hub(200.0)
     context.other.take_announcement(announcement(word), 8.0, 200.0)
-    brought = context.heard.endpoints.everything()
+    brought = context.heard.endpoints.current_announcements()
     watch(context.other, 200.1, 0, brought)
 
 
@@ -221,7 +225,7 @@
 @then("the rest of the earlier start counts no more")
 def no_rest(context):
     later = context.scene.later
-    assert (later.failures, later.rest_until) == (0, 0.0), later
+    assert (later.failures, later.ejected_until) == (0, 0.0), later
 
 
 @then("the work of the earlier start counts no more")
@@ -251,7 +255,7 @@
 def no_burial(context):
     end = upstream.CallEnd.COMPLETE
     note_late(context.scene, answers.MISDIRECTED, end)
-    assert context.scene.endpoints.of_service(SERVICE)
+    assert context.scene.endpoints.serving_endpoints(SERVICE)
 
 
 class NoGateway:
--- a/features/support/crashhistories.py
+++ b/features/support/crashhistories.py
@@ -280,7 +280,7 @@
         last = others[-1] if others else first
 
         async def story():
-            for _ in range(2 * crashledger.CRASHES_TO_CONVICT):
+            for _ in range(2 * crashledger.MIN_CRASHES):
                 asked = asyncio.ensure_future(
                     world.ask(POPULAR, "unsafe", gateway=first)
                 )
@@ -294,7 +294,7 @@
                 await world.run(crashworld.RESTART_S + 1.0)
 
         go(story())
-        assert world.arrivals[POPULAR] >= 3 * crashledger.CRASHES_TO_CONVICT
+        assert world.arrivals[POPULAR] >= 3 * crashledger.MIN_CRASHES
         check_none_proper(world)
 
 
@@ -324,7 +324,7 @@
             await world.run(3.0)
             task.cancel()
             world.fixed = True
-            await world.run(quarantine.FIRST_TERM_S)
+            await world.run(quarantine.FIRST_TRIAL_DELAY_S)
             await world.ask(body, world.poisons[body])
             await world.run(1.0)
             answer = await world.ask(body, world.poisons[body])
@@ -364,7 +364,7 @@
 def convicts_everybody(self, fingerprint, convicted, now):
     """Convict whoever was in flight at some crashes."""
     del convicted, now
-    return len(self.suspected[fingerprint]) >= crashledger.CRASHES_TO_CONVICT
+    return len(self.suspected[fingerprint]) >= crashledger.MIN_CRASHES
 
 
 def counts_together(self, fingerprint, endpoints):
@@ -411,11 +411,11 @@
         one_crash_counts_once,
     ),
     "crashes at once are counted one by one": (
-        (crashledger.CrashLedger, "chain", counts_together),
+        (crashledger.CrashLedger, "longest_sequence", counts_together),
         lambda: convicts_nobody("a rack ends under a popular request"),
     ),
     "whoever was in flight is convicted": (
-        (crashledger.CrashLedger, "is_guilty", convicts_everybody),
+        (crashledger.CrashLedger, "is_culprit", convicts_everybody),
         lambda: convicts_nobody(
             "a bystander follows poison to three endpoints"
         ),
@@ -429,7 +429,7 @@
         lambda: answered_between_crashes(2),
     ),
     "suspects are sent to the same engines": (
-        (isolation.Isolation, "isolates", lambda self, f: False),
+        (isolation.Isolation, "is_isolated", lambda self, f: False),
         storm_convicts_nobody,
     ),
     "watched requests are forgotten": (
--- a/features/support/crashworld.py
+++ b/features/support/crashworld.py
@@ -220,7 +220,7 @@
             return
         announcement = registry.Announcement(
             endpoint=engine.name,
-            incarnation=registry.UNMARKED,
+            incarnation=registry.NO_INCARNATION,
             seq=next(self.seqs),
             service=SERVICE,
             address=engine.address,
--- a/features/support/ledgerpatterns.py
+++ b/features/support/ledgerpatterns.py
@@ -119,7 +119,11 @@
         taking_turns_under_popular(5)
     ),
     "three crashes are spread over more than the window": [
-        crash(n, n * crashrecord.WINDOW_S, poison=n * crashrecord.WINDOW_S - 1)
+        crash(
+            n,
+            n * crashrecord.EVIDENCE_WINDOW_S,
+            poison=n * crashrecord.EVIDENCE_WINDOW_S - 1,
+        )
         for n in range(1, 4)
     ],
 }
@@ -137,5 +141,5 @@
     ledger, *known: str, now: float = END_S
 ) -> list[fingerprints.Fingerprint]:
     """Return who is convicted beside those that are already."""
-    verdicts = ledger.convict([print_of(name) for name in known], now)
+    verdicts = ledger.find_culprits([print_of(name) for name in known], now)
     return [verdict.fingerprint for verdict in verdicts]
--- a/features/support/relayhistories.py
+++ b/features/support/relayhistories.py
@@ -323,7 +323,7 @@
     ),
     "a gateway stays with a relay that is behind": (
         relaychoice.RelayChoice,
-        "avoid",
+        "back_off",
         lambda self, address, now: None,
     ),
 }
--- a/features/support/relayworld.py
+++ b/features/support/relayworld.py
@@ -444,7 +444,7 @@
             assert gateway.view.age_s(self.now) < 2.5, name
             known = set(gateway.view.members)
             assert known == alive, (name, known ^ alive)
-            used = {k.name for k in gateway.endpoints.of_service("s")}
+            used = {k.name for k in gateway.endpoints.serving_endpoints("s")}
             assert used == serving, (name, used ^ serving)
 
     def stop(self) -> None:
--- a/features/support/requestmachine.py
+++ b/features/support/requestmachine.py
@@ -11,7 +11,7 @@
 from _coltsfootroad.core import dispatcher
 from _coltsfootroad.core import endpoints
 from _coltsfootroad.core import errors
-from _coltsfootroad.core import placement
+from _coltsfootroad.core import grouping
 from _coltsfootroad.core import request as request_lib
 from _coltsfootroad.core import servicekind
 from _coltsfootroad.fakes import engine as engine_lib
@@ -448,7 +448,7 @@
         for kind in MENDS:
             getattr(self, kind)(None)
         world.network.run_until(
-            world.network.now + SETTLE_S + placement.GROUP_LEASE_S
+            world.network.now + SETTLE_S + grouping.GROUP_LEASE_S
         )
         self.oracle.check_settled()
 
--- a/src/_coltsfootroad/control/hub.py
+++ b/src/_coltsfootroad/control/hub.py
@@ -216,7 +216,7 @@
         """Return what is new for somebody, and take what was brought along."""
         for announcement in request.announcements:
             self.take_announcement(
-                announcement, ANNOUNCEMENT_LEASE_S, now, first_hand=False
+                announcement, ANNOUNCEMENT_LEASE_S, now, from_endpoint=False
             )
         whole, delta = self.state.routes.news(request.routes_version)
         return attrs.evolve(
@@ -282,11 +282,11 @@
         announcement: registry_lib.Announcement,
         lease_s: float,
         now: float,
-        first_hand: bool = True,
+        from_endpoint: bool = True,
     ) -> None:
         """Take an endpoint's announcement, good for `lease_s` seconds."""
         change = self.registry.announce(
-            announcement, now + lease_s, now, first_hand
+            announcement, now + lease_s, now, from_endpoint
         )
         if change is not registry_lib.Change.UPDATED:
             return
@@ -299,10 +299,10 @@
     def note_gone(self, name: str) -> None:
         """Tell that an endpoint is gone: silent, or signed off for good."""
         self.loads.pop(name, None)
-        incarnation = self.registry.left_for_good(name)
+        incarnation = self.registry.final_incarnation(name)
         sign_off = None
         if incarnation is not None:
-            sign_off = registry_lib.signed_off(name, incarnation)
+            sign_off = registry_lib.sign_off_announcement(name, incarnation)
         self.book.drop_endpoint(name, sign_off)
 
     def take_load(
@@ -345,7 +345,7 @@
         for aged in report.crashes:
             self.crashes.record(crashreports.with_times(aged, now), now)
         self.publish_suspects()
-        return [*map(acquit, acquitted), *self.convict(now)]
+        return [*map(acquit, acquitted), *self.find_culprits(now)]
 
     def is_convicted(self, fingerprint: fingerprints.Fingerprint) -> bool:
         """Return whether crashes put a request in quarantine, or are about to.
@@ -359,14 +359,16 @@
 
     def convict_late(self, now: float) -> list[crashreports.Quarantine]:
         """Return what to replicate once a crash proves more than before."""
-        if not self.crashes.is_due_again(self.convicted_at, now):
+        if not self.crashes.has_new_evidence(self.convicted_at, now):
             return []
-        return self.convict(now)
+        return self.find_culprits(now)
 
-    def convict(self, now: float) -> list[crashreports.Quarantine]:
+    def find_culprits(self, now: float) -> list[crashreports.Quarantine]:
         """Return the requests that the crashes so far convict."""
         self.convicted_at = now
-        verdicts = self.crashes.convict(self.state.quarantine.entries, now)
+        verdicts = self.crashes.find_culprits(
+            self.state.quarantine.entries, now
+        )
         for verdict in verdicts:
             self.convicting[verdict.fingerprint] = None
         while len(self.convicting) > MAX_CONVICTING:
--- a/src/_coltsfootroad/core/admission.py
+++ b/src/_coltsfootroad/core/admission.py
@@ -5,8 +5,8 @@
 from _coltsfootroad.core import config as config_lib
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import fairqueue
+from _coltsfootroad.core import grouping
 from _coltsfootroad.core import limits
-from _coltsfootroad.core import placement
 from _coltsfootroad.core import pool as pool_lib
 from _coltsfootroad.core import request as request_lib
 
@@ -92,9 +92,9 @@
             f"no endpoint serves {request.service!r} now",
             NO_ENDPOINT_RETRY_S,
         )
-    if not placement.needs_group(request, pool):
+    if not grouping.needs_group(request, pool):
         return None
-    limit = placement.group_capacity(pool)
+    limit = grouping.group_capacity(pool)
     if request.cost_tokens > limit:
         return refuse(
             errors.ErrorCode.PROMPT_TOO_LONG,
@@ -110,7 +110,7 @@
     """Return the predicted wait behind this entry's own queue."""
     if not queue.size:
         return 0.0
-    names = pool.clean.names or pool.dirty.names
+    names = pool.short_only.names or pool.mixed.names
     if not names:
         return 0.0
     rate = pool.views[names[0]].speed.prefill_rate * pool.serving_count()
--- a/src/_coltsfootroad/core/candidates.py
+++ b/src/_coltsfootroad/core/candidates.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Places:
+class CandidateCounts:
     """How many engines of each kind are compared.
 
     Attributes:
@@ -27,17 +27,17 @@
     """
 
     idle: int
-    writing: int
-    reading: int
+    decoding: int
+    prefilling: int
 
     @property
     def total(self) -> int:
         """Return how many engines are compared."""
-        return self.idle + self.writing + self.reading
+        return self.idle + self.decoding + self.prefilling
 
 
 @attrs.frozen(kw_only=True)
-class Limits:
+class CandidateLimits:
     """Bounds on a choice.
 
     Attributes:
@@ -49,64 +49,66 @@
             there are enough.
     """
 
-    drawn: int = 96
-    short: Places = Places(idle=4, writing=16, reading=4)
-    long: Places = Places(idle=18, writing=8, reading=6)
+    sampled: int = 96
+    short: CandidateCounts = CandidateCounts(idle=4, decoding=16, prefilling=4)
+    long: CandidateCounts = CandidateCounts(idle=18, decoding=8, prefilling=6)
 
 
-USUAL = Limits()
-Known = endpointset.KnownEndpoint
+DEFAULT_LIMITS = CandidateLimits()
+KnownEndpoint = endpointset.KnownEndpoint
 
 
-def draw(
-    known: list[Known],
+def sample_endpoints(
+    known: list[KnownEndpoint],
     now: float,
     avoid: set[str],
     rng: random.Random,
-    most: int = USUAL.drawn,
-) -> list[Known]:
+    most: int = DEFAULT_LIMITS.sampled,
+) -> list[KnownEndpoint]:
     """Return up to `most` endpoints in random order, usable ones if any is.
 
     Not usable are those that rest, and those in `avoid`, which this request
     has been sent to already.
     """
-    drawn = rng.sample(known, min(most, len(known)))
-    rested = [one for one in drawn if one.rest_until <= now] or drawn
+    sampled = rng.sample(known, min(most, len(known)))
+    rested = [one for one in sampled if one.ejected_until <= now] or sampled
     return [one for one in rested if one.name not in avoid] or rested
 
 
-def pick(
-    drawn: list[Known],
+def select_candidates(
+    sampled: list[KnownEndpoint],
     index: loadindex.LoadIndex,
-    places: Places,
+    places: CandidateCounts,
     zone: str,
     slots: int,
-) -> list[Known]:
+) -> list[KnownEndpoint]:
     """Return the engines to compare, of each kind as many as it has places.
 
     Half of the places are kept for engines of the own availability zone, as
     bytes between zones are dear. Places that a kind does not fill go to the
     others. `slots` is the size of a batch.
     """
-    if len(drawn) <= places.total:
-        return drawn
-    kinds: tuple[list[Known], list[Known], list[Known]] = ([], [], [])
-    for one in shortest_queue_first(drawn, index, slots):
+    if len(sampled) <= places.total:
+        return sampled
+    kinds: tuple[
+        list[KnownEndpoint], list[KnownEndpoint], list[KnownEndpoint]
+    ] = ([], [], [])
+    for one in sort_by_queue(sampled, index, slots):
         load = index.at(one.name)
         kinds[2 if load.is_reading else 1 if load.works else 0].append(one)
-    limits = (places.idle, places.writing, places.reading)
+    limits = (places.idle, places.decoding, places.prefilling)
     picked, left = [], []
     for found, limit in zip(kinds, limits, strict=True):
-        chosen = balanced(found, limit, zone)
+        chosen = balance_zones(found, limit, zone)
         names = {one.name for one in chosen}
         picked += chosen
         left += [one for one in found if one.name not in names]
     return picked + left[: places.total - len(picked)]
 
 
-def shortest_queue_first(
-    drawn: Iterable[Known], index: loadindex.LoadIndex, slots: int
-) -> list[Known]:
+def sort_by_queue(
+    sampled: Iterable[KnownEndpoint], index: loadindex.LoadIndex, slots: int
+) -> list[KnownEndpoint]:
     """Return endpoints by how much work is over their batch.
 
     What is late already is served after others and does not count.
@@ -114,21 +116,23 @@
     spread short prompts over engines that long ones could be read on.
     """
 
-    def queue(one: Known) -> int:
+    def queue(one: KnownEndpoint) -> int:
         late = len(index.late.get(one.name, ()))
         return max(0, len(index.at(one.name).works) - late + 1 - slots)
 
-    return sorted(drawn, key=queue)
+    return sorted(sampled, key=queue)
 
 
-def balanced(found: list[Known], limit: int, zone: str) -> list[Known]:
+def balance_zones(
+    found: list[KnownEndpoint], limit: int, zone: str
+) -> list[KnownEndpoint]:
     """Return up to `limit` endpoints, half of them from the zone if it can."""
-    near = [one for one in found if is_near(one, zone)]
-    far = [one for one in found if not is_near(one, zone)]
+    near = [one for one in found if is_in_zone(one, zone)]
+    far = [one for one in found if not is_in_zone(one, zone)]
     kept = min(len(near), max(limit // 2, limit - len(far)))
     return near[:kept] + far[: limit - kept]
 
 
-def is_near(one: Known, zone: str) -> bool:
+def is_in_zone(one: KnownEndpoint, zone: str) -> bool:
     """Return whether an endpoint is in a zone."""
     return one.announcement.availability_zone == zone
--- a/src/_coltsfootroad/core/crashledger.py
+++ b/src/_coltsfootroad/core/crashledger.py
@@ -9,19 +9,19 @@
 from _coltsfootroad.core import fingerprints
 
 # Endpoints that a request has to crash, one after the other, to be convicted.
-CRASHES_TO_CONVICT = 3
+MIN_CRASHES = 3
 # The same where convicted requests were in flight at some of them. A client's
 # attempts and our retries of them take a bystander to fewer endpoints.
-CRASHES_WITH_OTHERS = 5
+MIN_CRASHES_WITH_CULPRITS = 5
 # The same where other suspects were in flight at each of them. An observer may
 # miss one crash in as many.
-CRASHES_CONTESTED = 7
+MIN_CRASHES_AMBIGUOUS = 7
 # Crashes whose other suspects have all been answered that decide a contest.
-SHARED_TO_CONVICT = 2
+MIN_SHARED_CRASHES = 2
 # The same whatever else was in flight.
-CRASHES_AT_MOST = 8
+CONCLUSIVE_CRASHES = 8
 # A request that runs well has been answered this long after the crash.
-ANSWERS_S = 0.3
+ANSWER_DELAY_S = 0.3
 # Weight of crashes of a request that had begun to answer at one of them: most
 # poison requests end an endpoint before that.
 OUTPUT_WEIGHT = 0.5
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Verdict:
+class Culprit:
     """A request that is held responsible for crashes.
 
     Attributes:
@@ -58,7 +58,7 @@
     """
 
     def watched(
-        self, convicted: Collection[fingerprints.Fingerprint]
+        self, culprits: Collection[fingerprints.Fingerprint]
     ) -> list[fingerprints.Fingerprint]:
         """Return the suspects whose answers gateways are to report.
 
@@ -67,72 +67,72 @@
         found = [
             fingerprint
             for fingerprint, held in self.suspected.items()
-            if len(held) >= CRASHES_TO_WATCH and fingerprint not in convicted
+            if len(held) >= CRASHES_TO_WATCH and fingerprint not in culprits
         ]
         return found[-MAX_WATCHED:]
 
-    def is_due_again(self, earlier: float, now: float) -> bool:
+    def has_new_evidence(self, earlier: float, now: float) -> bool:
         """Return whether the newest crash proves more than at a time before."""
         newest = next(reversed(self.known.values()), None)
         return newest is not None and any(
             earlier < newest.reported_at + wait_s <= now
-            for wait_s in (crashrecord.REPORTS_S, ANSWERS_S)
+            for wait_s in (crashrecord.REPORT_DELAY_S, ANSWER_DELAY_S)
         )
 
-    def convict(
-        self, convicted: Collection[fingerprints.Fingerprint], now: float
-    ) -> list[Verdict]:
+    def find_culprits(
+        self, culprits: Collection[fingerprints.Fingerprint], now: float
+    ) -> list[Culprit]:
         """Return the suspects to convict beside those that are already."""
-        known = set(convicted)
+        known = set(culprits)
         found = []
-        while (guilty := self.most_guilty(known, now)) is not None:
+        while (guilty := self.next_culprit(known, now)) is not None:
             known.add(guilty)
             found.append(
-                Verdict(
+                Culprit(
                     fingerprint=guilty,
                     endpoints=tuple(self.suspected[guilty]),
                 )
             )
         return found
 
-    def most_guilty(
-        self, convicted: set[fingerprints.Fingerprint], now: float
+    def next_culprit(
+        self, culprits: set[fingerprints.Fingerprint], now: float
     ) -> fingerprints.Fingerprint | None:
         """Return the suspect to convict next, None if there is none."""
         frequent = [
             fingerprint
             for fingerprint, held in self.suspected.items()
-            if len(held) >= CRASHES_TO_CONVICT and fingerprint not in convicted
+            if len(held) >= MIN_CRASHES and fingerprint not in culprits
         ]
         frequent.sort(key=lambda f: len(self.suspected[f]), reverse=True)
         for fingerprint in frequent:
-            if self.is_guilty(fingerprint, convicted, now):
+            if self.is_culprit(fingerprint, culprits, now):
                 return fingerprint
         return None
 
-    def is_guilty(
+    def is_culprit(
         self,
         fingerprint: fingerprints.Fingerprint,
-        convicted: set[fingerprints.Fingerprint],
+        culprits: set[fingerprints.Fingerprint],
         now: float,
     ) -> bool:
         """Return whether the evidence against a suspect suffices."""
         held = self.suspected[fingerprint]
-        unexplained = self.unexplained(held, convicted, now)
+        unexplained = self.unexplained(held, culprits, now)
         if not unexplained:
             return False
-        count = self.chain(fingerprint, unexplained)
-        in_all = self.chain(fingerprint, held)
-        if count >= CRASHES_CONTESTED or in_all >= CRASHES_AT_MOST:
+        count = self.longest_sequence(fingerprint, unexplained)
+        in_all = self.longest_sequence(fingerprint, held)
+        if count >= MIN_CRASHES_AMBIGUOUS or in_all >= CONCLUSIVE_CRASHES:
             return True
-        if self.is_contested(fingerprint, unexplained, now):
+        if self.is_ambiguous(fingerprint, unexplained, now):
             return False
-        return count >= CRASHES_TO_CONVICT or in_all >= CRASHES_WITH_OTHERS
+        return count >= MIN_CRASHES or in_all >= MIN_CRASHES_WITH_CULPRITS
 
     def unexplained(
         self,
         held: set[crashes.EndpointKey],
-        convicted: set[fingerprints.Fingerprint],
+        culprits: set[fingerprints.Fingerprint],
         now: float,
     ) -> set[crashes.EndpointKey]:
         """Return the crashes at which no convicted request was in flight.
@@ -142,13 +142,13 @@
         found = {
             endpoint
             for endpoint in held
-            if convicted.isdisjoint(self.known[endpoint].suspects)
+            if culprits.isdisjoint(self.known[endpoint].suspects)
         }
         if len(found) == len(held):
             return found
         return {e for e in found if self.known[e].is_complete(now)}
 
-    def is_contested(
+    def is_ambiguous(
         self,
         fingerprint: fingerprints.Fingerprint,
         endpoints: set[crashes.EndpointKey],
@@ -173,25 +173,25 @@
             if len(crash.suspects) == 1
             and (crash.is_complete(now) or not is_repeated)
         ]
-        if self.decides(alone, len(known)):
+        if self.is_conclusive(alone, len(known)):
             return False
         newest_at = max(crash.reported_at for crash in known)
-        return is_repeated or now < newest_at + ANSWERS_S
+        return is_repeated or now < newest_at + ANSWER_DELAY_S
 
     @staticmethod
-    def decides(alone: list[crashrecord.KnownCrash], count: int) -> bool:
+    def is_conclusive(alone: list[crashrecord.KnownCrash], count: int) -> bool:
         """Return whether crashes without other suspects prove enough.
 
         Where the other suspects of a single one have been answered since, the
         request that caused it may not have been reported.
         """
-        if len(alone) * CRASHES_CONTESTED < count:
+        if len(alone) * MIN_CRASHES_AMBIGUOUS < count:
             return False
         if any(not crash.was_shared for crash in alone):
             return True
-        return len(alone) >= min(count, SHARED_TO_CONVICT)
+        return len(alone) >= min(count, MIN_SHARED_CRASHES)
 
-    def chain(
+    def longest_sequence(
         self,
         fingerprint: fingerprints.Fingerprint,
         endpoints: Collection[crashes.EndpointKey],
@@ -206,7 +206,7 @@
         last_crash = float("-inf")
         for crash in held:
             sent_at = crash.suspects[fingerprint].sent_at
-            if sent_at >= last_crash - crashrecord.ORDER_SLACK_S:
+            if sent_at >= last_crash - crashrecord.CLOCK_SLACK_S:
                 count += 1
                 last_crash = crash.at
         return count * (OUTPUT_WEIGHT if self.has_output(fingerprint) else 1.0)
--- a/src/_coltsfootroad/core/crashrecord.py
+++ b/src/_coltsfootroad/core/crashrecord.py
@@ -6,12 +6,12 @@
 from _coltsfootroad.core import fingerprints
 
 # All observers of a crash have reported it within this time of the first one.
-REPORTS_S = 0.05
+REPORT_DELAY_S = 0.05
 # A send this shortly before an earlier crash counts as one after it, as clocks
 # are compared over messages that take some time.
-ORDER_SLACK_S = 0.03
+CLOCK_SLACK_S = 0.03
 # Crashes older than this prove nothing any more.
-WINDOW_S = 600.0
+EVIDENCE_WINDOW_S = 600.0
 MAX_CRASHES = 1_024
 # Above the slots of an engine and the connections of a plain endpoint that are
 # busy at once.
@@ -19,10 +19,10 @@
 MAX_CLEARED = 4_096
 # An endpoint may crash this long after a send to it was stopped, as the request
 # runs on there.
-STOPPED_S = 2.0
+STOPPED_SEND_WINDOW_S = 2.0
 # A send that met a start which its gateway did not know yet was in flight at a
 # crash of the same endpoint this soon after it.
-UNKNOWN_START_S = 5.0
+UNKNOWN_START_WINDOW_S = 5.0
 
 
 @attrs.define
@@ -45,7 +45,7 @@
 
     def is_complete(self, now: float) -> bool:
         """Return whether all observers have had the time to report it."""
-        return now >= self.reported_at + REPORTS_S
+        return now >= self.reported_at + REPORT_DELAY_S
 
 
 @attrs.define
@@ -67,26 +67,26 @@
     )
     cleared: dict[fingerprints.Fingerprint, float] = attrs.Factory(dict)
     stopped: dict[crashes.EndpointKey, KnownCrash] = attrs.Factory(dict)
-    misplaced: dict[str, dict[fingerprints.Fingerprint, crashes.Suspect]] = (
-        attrs.Factory(dict)
-    )
+    unknown_start_sends: dict[
+        str, dict[fingerprints.Fingerprint, crashes.Suspect]
+    ] = attrs.Factory(dict)
 
     def record(self, crash: crashes.Crash, now: float) -> None:
         """Take one observer's report; the same again changes nothing."""
         self.expire(now)
-        if now - crash.at > WINDOW_S:
+        if now - crash.at > EVIDENCE_WINDOW_S:
             return
         found = self.known.setdefault(
             crash.endpoint, KnownCrash(crash.at, reported_at=now)
         )
         found.at = min(found.at, crash.at)
         for suspect in crash.suspects:
-            if suspect.sent_at > crash.at + ORDER_SLACK_S:
-                self.misplace(crash.endpoint, suspect)
+            if suspect.sent_at > crash.at + CLOCK_SLACK_S:
+                self.note_unknown_start(crash.endpoint, suspect)
             else:
                 self.suspect(crash.endpoint, found, suspect)
         self.add_stopped(crash.endpoint)
-        self.add_misplaced(crash.endpoint)
+        self.add_unknown_start_sends(crash.endpoint)
         while len(self.known) > MAX_CRASHES:
             self.forget(next(iter(self.known)))
 
@@ -108,30 +108,36 @@
     def add_stopped(self, endpoint: crashes.EndpointKey) -> None:
         """Count stopped sends among those in flight at a crash."""
         crash, stop = self.known.get(endpoint), self.stopped.get(endpoint)
-        if crash is None or stop is None or crash.at > stop.at + STOPPED_S:
+        if (
+            crash is None
+            or stop is None
+            or crash.at > stop.at + STOPPED_SEND_WINDOW_S
+        ):
             return
         for suspect in stop.suspects.values():
             self.suspect(endpoint, crash, suspect)
 
-    def misplace(
+    def note_unknown_start(
         self, endpoint: crashes.EndpointKey, suspect: crashes.Suspect
     ) -> None:
         """Note a send to a start after the one that it was reported under."""
-        held = self.misplaced.setdefault(endpoint.endpoint, {})
+        held = self.unknown_start_sends.setdefault(endpoint.endpoint, {})
         if len(held) < MAX_SUSPECTS:
             held[suspect.fingerprint] = suspect
-        while len(self.misplaced) > MAX_CRASHES:
-            del self.misplaced[next(iter(self.misplaced))]
+        while len(self.unknown_start_sends) > MAX_CRASHES:
+            del self.unknown_start_sends[next(iter(self.unknown_start_sends))]
         for known in list(self.known):
             if known.endpoint == endpoint.endpoint:
-                self.add_misplaced(known)
+                self.add_unknown_start_sends(known)
 
-    def add_misplaced(self, endpoint: crashes.EndpointKey) -> None:
+    def add_unknown_start_sends(self, endpoint: crashes.EndpointKey) -> None:
         """Count sends to a start that gateways did not know at its crash."""
         crash = self.known[endpoint]
-        for suspect in self.misplaced.get(endpoint.endpoint, {}).values():
+        for suspect in self.unknown_start_sends.get(
+            endpoint.endpoint, {}
+        ).values():
             in_flight_s = crash.at - suspect.sent_at
-            if -ORDER_SLACK_S <= in_flight_s <= UNKNOWN_START_S:
+            if -CLOCK_SLACK_S <= in_flight_s <= UNKNOWN_START_WINDOW_S:
                 self.suspect(endpoint, crash, suspect)
 
     def suspect(
@@ -148,7 +154,7 @@
         known = crash.suspects.get(fingerprint)
         if known is None and len(crash.suspects) >= MAX_SUSPECTS:
             return
-        crash.suspects[fingerprint] = merge(known, suspect)
+        crash.suspects[fingerprint] = merge_suspects(known, suspect)
         self.suspected.setdefault(fingerprint, set()).add(endpoint)
 
     def clear(self, fingerprint: fingerprints.Fingerprint, now: float) -> None:
@@ -166,7 +172,7 @@
         """Drop crashes that are too old, the oldest reports first."""
         while self.known:
             oldest = next(iter(self.known))
-            if now - self.known[oldest].at <= WINDOW_S:
+            if now - self.known[oldest].at <= EVIDENCE_WINDOW_S:
                 return
             self.forget(oldest)
 
@@ -179,7 +185,7 @@
                 del self.suspected[fingerprint]
 
 
-def merge(
+def merge_suspects(
     known: crashes.Suspect | None, suspect: crashes.Suspect
 ) -> crashes.Suspect:
     """Return what two sends of a request to one endpoint say together."""
--- a/src/_coltsfootroad/core/dispatcher.py
+++ b/src/_coltsfootroad/core/dispatcher.py
@@ -9,9 +9,9 @@
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import fairqueue
 from _coltsfootroad.core import flights
+from _coltsfootroad.core import grouping
 from _coltsfootroad.core import hosts
 from _coltsfootroad.core import lengths
-from _coltsfootroad.core import placement
 from _coltsfootroad.core import policies as policies_lib
 from _coltsfootroad.core import pool as pool_lib
 from _coltsfootroad.core import request as request_lib
@@ -70,11 +70,11 @@
         """Return the predicted seconds until the answer is whole."""
         if request.kind is servicekind.ServiceKind.PLAIN:
             return 0.0
-        if placement.needs_group(request, pool):
-            plan = placement.plan(request, band, pool, set(), now)
+        if grouping.needs_group(request, pool):
+            plan = grouping.plan(request, band, pool, set(), now)
             wait_s = plan.predicted_s if plan is not None else 0.0
             return wait_s + self.decode_s(request, pool)
-        views = pool.sample(policies_lib.SAMPLE, now)
+        views = pool.sample(policies_lib.SAMPLE_SIZE, now)
         first = min(
             (v.speed.prefill_s(v.ahead(band)) for v in views), default=0.0
         )
@@ -86,7 +86,7 @@
         """Return the seconds that an idle engine would need."""
         if request.kind is servicekind.ServiceKind.PLAIN:
             return 0.0
-        if placement.needs_group(request, pool):
+        if grouping.needs_group(request, pool):
             return self.decode_s(request, pool)
         speed = self.some_view(pool).speed
         cached = 1.0 if request.prefix_hashes else 0.0
@@ -103,7 +103,7 @@
 
     def some_view(self, pool: pool_lib.ServicePool) -> endpoints.EndpointView:
         """Return a serving endpoint's view for typical speeds."""
-        names = pool.clean.names or pool.dirty.names
+        names = pool.short_only.names or pool.mixed.names
         return pool.views[names[0]]
 
     # --- dispatch --------------------------------------------------------
@@ -133,7 +133,7 @@
         pool = core.pool(request.service)
         if now >= request.deadline_at or not pool.serving_count():
             return False
-        if placement.needs_group(request, pool):
+        if grouping.needs_group(request, pool):
             self.leave_queue(flight, now)
             flight.state = flights.FlightState.RESERVING
             self.reserve(flight, now)
@@ -163,7 +163,7 @@
         if meter.may_start(now):
             return True
         if not meter.has_lease(now):
-            self.core.syncing.hurry(now)
+            self.core.syncing.request_early_sync(now)
         return False
 
     def choose(
@@ -218,7 +218,9 @@
         )
         if flight.band == 0:
             speed = pool.views[parts[0].endpoint].speed
-            pool.note_short(speed.prefill_s(request.prompt_tokens), now)
+            pool.record_short_prompt(
+                speed.prefill_s(request.prompt_tokens), now
+            )
         core.flights.arm(flight, now + predicted_s + AGE_AFTER_S)
         core.out.append(
             actions.Dispatch(
@@ -287,7 +289,7 @@
         core.flights.arm(flight, now + GROUP_RETRY_S)
         pool = core.pool(request.service)
         if not flight.group_engines:
-            plan = placement.plan(request, flight.band, pool, set(), now)
+            plan = grouping.plan(request, flight.band, pool, set(), now)
             if plan is None:
                 self.refuse_unplaceable(flight, pool, now)
                 return
@@ -314,7 +316,7 @@
             service=flight.request.service,
             request_id=flight.request_id,
             engines=flight.group_engines,
-            lease_s=placement.GROUP_LEASE_S,
+            lease_s=grouping.GROUP_LEASE_S,
         )
 
     def on_group(self, answer: messages.GroupAnswer, now: float) -> None:
@@ -349,7 +351,7 @@
             self.core.flights.arm(flight, now + GROUP_RETRY_S)
             return
         per_engine = max(flight.group_engines.values())
-        plan = placement.make_plan(
+        plan = grouping.make_plan(
             flight.request, flight.band, views, per_engine
         )
         self.send(flight, plan.parts, plan.predicted_s, now)
--- a/src/_coltsfootroad/core/endpoints.py
+++ b/src/_coltsfootroad/core/endpoints.py
@@ -17,8 +17,8 @@
 STALL_TOKENS = 4_096
 # Dispatches of others that are remembered per entry, and how long one is
 # believed that no report confirms: its entry may have died before sending.
-MAX_FOREIGN = 256
-FOREIGN_BELIEF_S = 4.0
+MAX_FOREIGN_WORK = 256
+FOREIGN_WORK_TTL_S = 4.0
 
 
 @attrs.frozen(kw_only=True)
@@ -167,17 +167,17 @@
     def ahead(self, band: int) -> float:
         """Return the prompt tokens served before a new one of `band`."""
         tokens = sum(self.backlog[: band + 1])
-        if self.has_longer(band):
+        if self.has_longer_prompts(band):
             tokens += STALL_TOKENS
         return tokens
 
-    def has_longer(self, band: int) -> bool:
+    def has_longer_prompts(self, band: int) -> bool:
         """Return whether prompts of a longer band are being read."""
         return any(tokens > 0 for tokens in self.backlog[band + 1 :])
 
-    def is_clean(self) -> bool:
+    def is_short_only(self) -> bool:
         """Return whether nothing but short prompts is being read."""
-        return not self.has_longer(0)
+        return not self.has_longer_prompts(0)
 
     def total_backlog(self) -> float:
         """Return the waiting prompt tokens of all bands."""
@@ -187,7 +187,7 @@
         """Count a dispatch of another entry into the backlog."""
         self.advance(now)
         queue = self.foreign.setdefault(
-            owner, collections.deque(maxlen=MAX_FOREIGN)
+            owner, collections.deque(maxlen=MAX_FOREIGN_WORK)
         )
         if queue and work.mark <= queue[-1].mark:
             return
@@ -195,11 +195,11 @@
         self.backlog[work.band] += work.prompt_tokens
         self.kv_unreported += work.kv_tokens
 
-    def settle_foreign(self, report: LoadReport, now: float) -> None:
+    def reconcile_foreign(self, report: LoadReport, now: float) -> None:
         """Drop what a report contains; add the rest to its backlog."""
         for owner, queue in list(self.foreign.items()):
             seen = report.marks.get(owner, 0)
-            oldest = now - FOREIGN_BELIEF_S
+            oldest = now - FOREIGN_WORK_TTL_S
             while queue and (
                 queue[0].mark <= seen or queue[0].noted_at < oldest
             ):
@@ -207,7 +207,7 @@
             if not queue:
                 del self.foreign[owner]
             for work in queue:
-                self.add_unread(work, work.noted_at, now)
+                self.add_unreported(work, work.noted_at, now)
                 self.kv_unreported += work.kv_tokens
 
     def add_work(
@@ -285,11 +285,11 @@
             if work.mark > self.reported_mark:
                 self.kv_unreported += work.kv_tokens
                 if work.first_token_at is None:
-                    self.add_unread(work, work.sent_at, now)
-        self.settle_foreign(report, now)
+                    self.add_unreported(work, work.sent_at, now)
+        self.reconcile_foreign(report, now)
         return True
 
-    def add_unread(
+    def add_unreported(
         self, work: "OwnWork | ForeignWork", since: float, now: float
     ) -> None:
         """Add what is left of a dispatch that a report does not contain.
--- a/src/_coltsfootroad/core/endpointset.py
+++ b/src/_coltsfootroad/core/endpointset.py
@@ -8,19 +8,19 @@
 
 # An endpoint that could not be reached is tried again after this time,
 # doubled with each failure in a row up to the longest.
-REST_S = 0.7
-MAX_REST_S = 5.0
+FIRST_EJECTION_S = 0.7
+MAX_EJECTION_S = 5.0
 # Answers lost in a row after which an endpoint rests.
-LOST_TO_REST = 2
+LOSSES_TO_EJECT = 2
 # Gone endpoints that are remembered; a late announcement revives none.
-MAX_BURIED = 4_096
+MAX_TOMBSTONES = 4_096
 
 
 # Stands for the incarnation of a name of which no start has ended.
-NEVER_BURIED = -1
+NO_TOMBSTONE = -1
 
 
-class Learned(enum.Enum):
+class AnnouncementResult(enum.Enum):
     """What an announcement was to a gateway."""
 
     NEW = "new"
@@ -46,8 +46,8 @@
     announcement: registry.Announcement
     expired: bool = False
     failures: int = 0
-    rest_until: float = 0.0
-    pace: float = 1.0
+    ejected_until: float = 0.0
+    slowdown: float = 1.0
     restarted_at: float = float("-inf")
 
     @property
@@ -67,51 +67,51 @@
     """All endpoints by name and service."""
 
     known: dict[str, KnownEndpoint] = attrs.Factory(dict)
-    buried: dict[str, int] = attrs.Factory(dict)
+    tombstones: dict[str, int] = attrs.Factory(dict)
     # Those that take new work, by service, until anything changes.
     serving: dict[str, list[KnownEndpoint]] = attrs.Factory(dict)
 
     def learn(
         self, announcement: registry.Announcement, now: float = 0.0
-    ) -> Learned:
+    ) -> AnnouncementResult:
         """Take an announcement unless a later start or its end is known."""
         self.serving.clear()
         name = announcement.endpoint
         incarnation = announcement.incarnation
-        if incarnation <= self.buried.get(name, NEVER_BURIED):
-            return Learned.OLD
+        if incarnation <= self.tombstones.get(name, NO_TOMBSTONE):
+            return AnnouncementResult.OLD
         if announcement.state is registry.EndpointState.GONE:
-            self.bury(name, incarnation)
-            return Learned.ENDED
+            self.add_tombstone(name, incarnation)
+            return AnnouncementResult.ENDED
         known = self.known.get(name)
         if known is None:
             self.known[name] = KnownEndpoint(announcement)
-            return Learned.NEW
+            return AnnouncementResult.NEW
         latest = known.announcement.incarnation
         # One without an incarnation that comes after a silence is a start of
         # other software; the leader would have refused a late word.
-        unmarked = incarnation == registry.UNMARKED and known.expired
+        unmarked = incarnation == registry.NO_INCARNATION and known.expired
         if incarnation > latest or (unmarked and incarnation < latest):
             self.known[name] = KnownEndpoint(announcement, restarted_at=now)
-            return Learned.RESTARTED
+            return AnnouncementResult.RESTARTED
         if incarnation < latest:
-            return Learned.OLD
+            return AnnouncementResult.OLD
         known.expired = False
         if known.announcement.state is registry.EndpointState.LEAVING:
-            return Learned.OLD
+            return AnnouncementResult.OLD
         known.announcement = announcement
-        return Learned.NEW
+        return AnnouncementResult.NEW
 
-    def bury(self, name: str, incarnation: int) -> None:
+    def add_tombstone(self, name: str, incarnation: int) -> None:
         """Forget an endpoint whose start has ended, unless a later one is."""
         self.serving.clear()
         known = self.known.get(name)
         if known is not None and known.announcement.incarnation <= incarnation:
             del self.known[name]
-        before = self.buried.pop(name, NEVER_BURIED)
-        self.buried[name] = max(before, incarnation)
-        while len(self.buried) > MAX_BURIED:
-            del self.buried[next(iter(self.buried))]
+        before = self.tombstones.pop(name, NO_TOMBSTONE)
+        self.tombstones[name] = max(before, incarnation)
+        while len(self.tombstones) > MAX_TOMBSTONES:
+            del self.tombstones[next(iter(self.tombstones))]
 
     def is_current(self, endpoint: KnownEndpoint) -> bool:
         """Return whether an endpoint has not ended or started again since."""
@@ -128,7 +128,7 @@
         if name in self.known:
             self.known[name].expired = True
 
-    def of_service(self, service: str) -> list[KnownEndpoint]:
+    def serving_endpoints(self, service: str) -> list[KnownEndpoint]:
         """Return the endpoints that take new work; not to be changed."""
         found = self.serving.get(service)
         if found is None:
@@ -157,20 +157,22 @@
         if known is None:
             return 0.0
         known.failures += 1
-        if not unreachable and known.failures < LOST_TO_REST:
+        if not unreachable and known.failures < LOSSES_TO_EJECT:
             return 0.0
-        rest_s = min(MAX_REST_S, REST_S * 2 ** (known.failures - 1))
-        known.rest_until = now + rest_s
-        return rest_s
+        ejection_s = min(
+            MAX_EJECTION_S, FIRST_EJECTION_S * 2 ** (known.failures - 1)
+        )
+        known.ejected_until = now + ejection_s
+        return ejection_s
 
     def on_success(self, name: str) -> None:
         """Note that an endpoint works."""
         known = self.known.get(name)
         if known is not None:
             known.failures = 0
-            known.rest_until = 0.0
+            known.ejected_until = 0.0
 
-    def everything(self) -> tuple[registry.Announcement, ...]:
+    def current_announcements(self) -> tuple[registry.Announcement, ...]:
         """Return all that a new leader has to learn again."""
         alive = tuple(
             known.announcement
@@ -178,7 +180,7 @@
             if not known.expired
         )
         gone = tuple(
-            registry.signed_off(name, incarnation)
-            for name, incarnation in self.buried.items()
+            registry.sign_off_announcement(name, incarnation)
+            for name, incarnation in self.tombstones.items()
         )
         return alive + gone
--- a/src/_coltsfootroad/core/enginemodel.py
+++ b/src/_coltsfootroad/core/enginemodel.py
@@ -3,7 +3,7 @@
 from _coltsfootroad.core import routes
 
 
-def read_s(spec: routes.EngineSpec, tokens: int, parts: int = 1) -> float:
+def prefill_s(spec: routes.EngineSpec, tokens: int, parts: int = 1) -> float:
     """Return the seconds in which each of `parts` engines reads its part.
 
     Attention grows with the pairs of a token and an earlier one, so reading
--- a/src/_coltsfootroad/core/spread.py
+++ b/src/_coltsfootroad/core/engineplacement.py
@@ -33,26 +33,26 @@
 # What each further part costs, in the same unit, so that ties go to fewer.
 PART_COST = 0.01
 # What a request over the batch costs: it waits for a whole answer.
-OVERFULL_COST = 3.0
+FULL_BATCH_COST = 3.0
 # What the last place of a batch costs: another gateway may take it in the
 # milliseconds until it hears of this choice, and one of the two then waits for
 # a whole answer.
-LAST_PLACE_COST = 0.05
+LAST_SLOT_COST = 0.05
 # What one request more that waits there costs, so that those which are late
 # already wait spread over the engines.
-QUEUE_COST = 0.05
+QUEUED_REQUEST_COST = 0.05
 # Tokens kept free at each engine that lends memory to a long prompt, for
 # the short ones that come while it is there.
-SPARE_TOKENS = 40_000
+RESERVED_KV_TOKENS = 40_000
 # How long a stream keeps its place in a batch, about.
-STREAM_S = 2.0
+MEAN_STREAM_S = 2.0
 # Tokens of a prompt that are worth as much as one short request.
 TOKENS_PER_VALUE = 10_000
 # What a second of reading that is queued at an engine costs, in values of one
 # short request: whatever comes next there waits as well.
-WAIT_COST = 6.0
+QUEUED_PREFILL_COST = 6.0
 # What another availability zone costs: a tie-breaker.
-ZONE_COST = 0.005
+CROSS_ZONE_COST = 0.005
 
 
 @attrs.frozen(kw_only=True)
@@ -89,7 +89,7 @@
     cost: float = 0.0
 
 
-def lateness(predicted_s: float, target_s: float) -> float:
+def miss_likelihood(predicted_s: float, target_s: float) -> float:
     """Return the likelihood that an aim is missed, from 0 to 1.
 
     Grows linearly from the margin to the aim, as predictions err, and
@@ -120,46 +120,46 @@
             break
         if parts > 1 and not may_split(prompt):
             break
-        found = place_in(prompt, states, spec, parts)
+        found = place_in_parts(prompt, states, spec, parts)
         if found is not None and (best is None or found.cost < best.cost):
             best = found
     return best
 
 
-def place_in(
+def place_in_parts(
     prompt: Prompt,
     states: list[enginestate.EngineState],
     spec: routes.EngineSpec,
     parts: int,
 ) -> Placement | None:
     """Return the cheapest placement in so many parts."""
-    part_s = enginemodel.read_s(spec, prompt.prompt_tokens, parts)
-    reading = [part_cost(state, part_s) for state in states]
+    part_s = enginemodel.prefill_s(spec, prompt.prompt_tokens, parts)
+    reading = [prefill_cost(state, part_s) for state in states]
     leading = [
-        cost + lead_cost(prompt, state, spec, part_s)
+        cost + decode_cost(prompt, state, spec, part_s)
         for state, cost in zip(states, reading, strict=True)
     ]
     first = min(range(len(states)), key=leading.__getitem__)
-    helping = heapq.nsmallest(
+    helper_parts = heapq.nsmallest(
         parts - 1,
         (
             place
             for place, state in enumerate(states)
-            if place != first and state.helping < spec.slots
+            if place != first and state.helper_parts < spec.slots
         ),
         key=reading.__getitem__,
     )
-    if len(helping) < parts - 1:
+    if len(helper_parts) < parts - 1:
         return None
     lead = states[first]
-    others = [states[place] for place in helping]
-    tickets = lend_memory(prompt, lead, others, spec)
+    others = [states[place] for place in helper_parts]
+    tickets = allocate_memory(prompt, lead, others, spec)
     if tickets is None:
         return None
     chosen = [lead, *others]
-    first_event_s = max(event_s(s, spec, part_s) for s in chosen)
-    cost = leading[first] + sum(reading[place] for place in helping)
-    cost += prompt.value * lateness(first_event_s, prompt.target_s)
+    first_event_s = max(predict_first_event_s(s, spec, part_s) for s in chosen)
+    cost = leading[first] + sum(reading[place] for place in helper_parts)
+    cost += prompt.value * miss_likelihood(first_event_s, prompt.target_s)
     return Placement(
         lead=lead.endpoint,
         helpers=tuple(s.endpoint for s in others),
@@ -169,7 +169,7 @@
     )
 
 
-def lend_memory(
+def allocate_memory(
     prompt: Prompt,
     lead: enginestate.EngineState,
     others: list[enginestate.EngineState],
@@ -181,21 +181,21 @@
     its memory is what it would have to make free by itself.
     """
     needed = prompt.prompt_tokens + prompt.output_tokens
-    if needed <= spec.kv_tokens - SPARE_TOKENS:
+    if needed <= spec.kv_tokens - RESERVED_KV_TOKENS:
         return ()
-    left = needed - max(0, spec.kv_tokens - lead.kv_used - SPARE_TOKENS)
+    left = needed - max(0, spec.kv_tokens - lead.kv_used - RESERVED_KV_TOKENS)
     tickets = []
     for state in sorted(others, key=lambda s: s.kv_used):
         if left <= 0:
             break
-        free = spec.kv_tokens - state.kv_used - SPARE_TOKENS
+        free = spec.kv_tokens - state.kv_used - RESERVED_KV_TOKENS
         if free > 0:
             tickets.append((state.endpoint, min(free, left)))
             left -= free
     return tuple(tickets) if left <= 0 else None
 
 
-def event_s(
+def predict_first_event_s(
     state: enginestate.EngineState, spec: routes.EngineSpec, part_s: float
 ) -> float:
     """Return when an engine has read its part and a pass has gone by.
@@ -203,38 +203,42 @@
     Over the batch, a request first waits until others have ended: with
     streams of some seconds, one ends each `STREAM_S` divided by the batch.
     """
-    queued = max(0, state.ahead + 1 - spec.slots)
-    wait_s = queued * STREAM_S / spec.slots
-    pass_s = 1.5 * state.pause_s
-    return wait_s + pass_s + state.reading_s + state.pace * part_s
+    queued = max(0, state.requests_ahead + 1 - spec.slots)
+    wait_s = queued * MEAN_STREAM_S / spec.slots
+    pass_s = 1.5 * state.gap_s
+    return wait_s + pass_s + state.prefill_left_s + state.slowdown * part_s
 
 
-def part_cost(state: enginestate.EngineState, part_s: float) -> float:
+def prefill_cost(state: enginestate.EngineState, part_s: float) -> float:
     """Return what reading a part costs the streams of an engine."""
-    cost = state.harm(state.pace * part_s) + PART_COST
-    cost += 0.0 if state.near else ZONE_COST
-    return cost + WAIT_COST * state.reading_s
+    cost = state.value_lost_by(state.slowdown * part_s) + PART_COST
+    cost += 0.0 if state.in_gateway_zone else CROSS_ZONE_COST
+    return cost + QUEUED_PREFILL_COST * state.prefill_left_s
 
 
-def lead_cost(
+def decode_cost(
     prompt: Prompt,
     state: enginestate.EngineState,
     spec: routes.EngineSpec,
     part_s: float,
 ) -> float:
     """Return what writing the answer costs, besides reading a part."""
-    seconds = event_s(state, spec, part_s)
-    cost = prompt.value * lateness(seconds, prompt.target_s)
-    if state.pause_s + state.reading_s > prompt.gap_target_s > 0:
+    seconds = predict_first_event_s(state, spec, part_s)
+    cost = prompt.value * miss_likelihood(seconds, prompt.target_s)
+    if state.gap_s + state.prefill_left_s > prompt.gap_target_s > 0:
         cost += 0.5 * prompt.value
-    if state.ahead >= spec.slots:
-        cost += OVERFULL_COST * prompt.value * (1 + state.ahead - spec.slots)
-    cost += QUEUE_COST * max(0, state.running - spec.slots)
-    if state.ahead == spec.slots - 1:
-        cost += LAST_PLACE_COST * prompt.value
+    if state.requests_ahead >= spec.slots:
+        cost += (
+            FULL_BATCH_COST
+            * prompt.value
+            * (1 + state.requests_ahead - spec.slots)
+        )
+    cost += QUEUED_REQUEST_COST * max(0, state.running - spec.slots)
+    if state.requests_ahead == spec.slots - 1:
+        cost += LAST_SLOT_COST * prompt.value
     needed = prompt.prompt_tokens + prompt.output_tokens
     if state.kv_used + min(needed, spec.kv_tokens) > spec.kv_tokens:
-        cost += OVERFULL_COST * prompt.value
-    if not state.writers and not may_split(prompt):
+        cost += FULL_BATCH_COST * prompt.value
+    if not state.decoding and not may_split(prompt):
         cost += IDLE_ENGINE_COST
     return cost
--- a/src/_coltsfootroad/core/enginestate.py
+++ b/src/_coltsfootroad/core/enginestate.py
@@ -9,21 +9,21 @@
 from _coltsfootroad.core import work as work_lib
 
 # Share of the longest pause that a pass may take by prediction.
-PAUSE_MARGIN = 0.85
+GAP_MARGIN = 0.85
 NEVER = float("-inf")
 
 
 @attrs.frozen
-class Stake:
+class ProtectedStream:
     """A stream that is on time so far, and what a long pause would cost."""
 
     gap_target_s: float
     value: float
 
 
-def lost_above(stakes: list[Stake], pause_s: float) -> float:
+def value_lost(protected: list[ProtectedStream], gap_s: float) -> float:
     """Return what is lost by a pause."""
-    return sum(stake.value for stake in stakes if stake.gap_target_s < pause_s)
+    return sum(stake.value for stake in protected if stake.gap_target_s < gap_s)
 
 
 @attrs.define
@@ -49,66 +49,64 @@
     """
 
     endpoint: str
-    near: bool = True
-    pace: float = 1.0
-    writers: list[work_lib.Work] = attrs.Factory(list)
-    free_at: float = NEVER
-    reading_s: float = 0.0
+    in_gateway_zone: bool = True
+    slowdown: float = 1.0
+    decoding: list[work_lib.Work] = attrs.Factory(list)
+    prefill_done_at: float = NEVER
+    prefill_left_s: float = 0.0
     running: int = 0
-    ahead: int = 0
-    helping: int = 0
+    requests_ahead: int = 0
+    helper_parts: int = 0
     kv_used: int = 0
-    pause_s: float = 0.0
-    bare_stakes: list[Stake] = attrs.Factory(list)
-    stakes: list[Stake] = attrs.Factory(list)
-    coming: list[work_lib.Work] = attrs.Factory(list)
-    coming_stakes: list[Stake] = attrs.Factory(list)
+    gap_s: float = 0.0
+    on_time: list[ProtectedStream] = attrs.Factory(list)
+    protected: list[ProtectedStream] = attrs.Factory(list)
+    prefilling: list[work_lib.Work] = attrs.Factory(list)
+    prefilling_protected: list[ProtectedStream] = attrs.Factory(list)
 
-    def foresee(self, spec: routes.EngineSpec) -> None:
+    def update_gaps(self, spec: routes.EngineSpec) -> None:
         """Work out the pauses that its streams have without further work.
 
         Done once for each change of its work, as each of the many comparisons
         of a choice asks.
         """
-        context = sum(work.prompt_tokens for work in self.writers)
-        bare_s = enginemodel.pass_s(spec, len(self.writers), context)
-        self.pause_s = self.pace * bare_s
-        self.bare_stakes = [
-            Stake(work.gap_target_s, work.value)
-            for work in self.writers
-            if work.gap_target_s >= self.pause_s
+        context = sum(work.prompt_tokens for work in self.decoding)
+        bare_s = enginemodel.pass_s(spec, len(self.decoding), context)
+        self.gap_s = self.slowdown * bare_s
+        self.on_time = [
+            ProtectedStream(work.gap_target_s, work.value)
+            for work in self.decoding
+            if work.gap_target_s >= self.gap_s
         ]
-        self.coming_stakes = [
-            Stake(work.gap_target_s, work.value)
-            for work in self.coming
+        self.prefilling_protected = [
+            ProtectedStream(work.gap_target_s, work.value)
+            for work in self.prefilling
             if work.gap_target_s
         ]
 
-    def look(self, now: float) -> None:
+    def advance_to(self, now: float) -> None:
         """Note what is left to be read at a time."""
-        self.reading_s = max(0.0, self.free_at - now)
-        self.stakes = self.bare_stakes
-        if self.reading_s:
-            pause_s = self.pause_s + self.reading_s
-            self.stakes = [
-                stake
-                for stake in self.bare_stakes
-                if stake.gap_target_s >= pause_s
+        self.prefill_left_s = max(0.0, self.prefill_done_at - now)
+        self.protected = self.on_time
+        if self.prefill_left_s:
+            gap_s = self.gap_s + self.prefill_left_s
+            self.protected = [
+                stake for stake in self.on_time if stake.gap_target_s >= gap_s
             ]
 
-    def harm(self, extra_s: float) -> float:
+    def value_lost_by(self, extra_s: float) -> float:
         """Return the value that streams lose by `extra_s` more reading.
 
         What is read already when a stream begins does not hold it up, so
         those that are still to come meet only what is added now.
         """
         lost = 0.0
-        if self.stakes:
-            after = (self.pause_s + self.reading_s + extra_s) / PAUSE_MARGIN
-            lost += lost_above(self.stakes, after)
-        if self.coming_stakes:
-            after = (self.pause_s + extra_s) / PAUSE_MARGIN
-            lost += lost_above(self.coming_stakes, after)
+        if self.protected:
+            after = (self.gap_s + self.prefill_left_s + extra_s) / GAP_MARGIN
+            lost += value_lost(self.protected, after)
+        if self.prefilling_protected:
+            after = (self.gap_s + extra_s) / GAP_MARGIN
+            lost += value_lost(self.prefilling_protected, after)
         return lost
 
 
@@ -117,28 +115,30 @@
     works: Iterable[work_lib.Work],
     spec: routes.EngineSpec,
     now: float,
-    near: bool = True,
-    pace: float = 1.0,
+    in_gateway_zone: bool = True,
+    slowdown: float = 1.0,
 ) -> EngineState:
     """Return the state of an engine from the work that was sent to it."""
-    state = EngineState(endpoint, near, pace)
+    state = EngineState(endpoint, in_gateway_zone, slowdown)
     works = list(works)
     for work in works:
         state.kv_used += work.kv_tokens
         if work.leads:
             state.running += 1
-            state.ahead += work.writing or not work.late
-            (state.writers if work.writing else state.coming).append(work)
+            state.requests_ahead += work.writing or not work.late
+            (state.decoding if work.writing else state.prefilling).append(work)
         elif not work.writing:
-            state.helping += 1
-    state.free_at = free_at(works, spec, pace)
-    state.foresee(spec)
-    state.look(now)
+            state.helper_parts += 1
+    state.prefill_done_at = prefill_done_at(works, spec, slowdown)
+    state.update_gaps(spec)
+    state.advance_to(now)
     return state
 
 
-def free_at(
-    works: Iterable[work_lib.Work], spec: routes.EngineSpec, pace: float = 1.0
+def prefill_done_at(
+    works: Iterable[work_lib.Work],
+    spec: routes.EngineSpec,
+    slowdown: float = 1.0,
 ) -> float:
     """Return when an engine will have read what it was sent.
 
@@ -149,16 +149,16 @@
     found = NEVER
     unread = [work for work in works if not work.writing]
     for work in sorted(unread, key=lambda w: w.sent_at):
-        whole = enginemodel.read_s(spec, work.prompt_tokens, work.parts)
-        found = max(found, work.sent_at) + pace * whole
+        whole = enginemodel.prefill_s(spec, work.prompt_tokens, work.parts)
+        found = max(found, work.sent_at) + slowdown * whole
     return found
 
 
-def reading_left_s(
+def remaining_prefill_s(
     works: Iterable[work_lib.Work],
     spec: routes.EngineSpec,
     now: float,
-    pace: float = 1.0,
+    slowdown: float = 1.0,
 ) -> float:
     """Return for how long an engine will still read what it was sent."""
-    return max(0.0, free_at(works, spec, pace) - now)
+    return max(0.0, prefill_done_at(works, spec, slowdown) - now)
--- a/src/_coltsfootroad/core/enginebook.py
+++ b/src/_coltsfootroad/core/enginestatecache.py
@@ -9,11 +9,11 @@
 from _coltsfootroad.core import work as work_lib
 
 # States that are kept; beyond it those of engines that are gone go as well.
-MAX_KEPT = 4_096
+MAX_CACHED_STATES = 4_096
 
 
 @attrs.define
-class KeptState:
+class CachedState:
     """A state and what it was worked out from.
 
     Attributes:
@@ -30,7 +30,7 @@
 
 
 @attrs.define
-class EngineBook:
+class EngineStateCache:
     """Keeps the states of engines for the next choice.
 
     Attributes:
@@ -41,7 +41,7 @@
 
     index: loadindex.LoadIndex
     availability_zone: str
-    kept: dict[str, KeptState] = attrs.Factory(dict)
+    cached: dict[str, CachedState] = attrs.Factory(dict)
 
     def state(
         self,
@@ -51,40 +51,40 @@
     ) -> enginestate.EngineState:
         """Return what an engine does at a time."""
         version = self.index.at(endpoint.name).version
-        kept = self.kept.get(endpoint.name)
-        if kept is None or not (
-            kept.endpoint is endpoint
-            and kept.version == version
-            and kept.spec == spec
-            and kept.state.pace == endpoint.pace
+        cached = self.cached.get(endpoint.name)
+        if cached is None or not (
+            cached.endpoint is endpoint
+            and cached.version == version
+            and cached.spec == spec
+            and cached.state.slowdown == endpoint.slowdown
         ):
-            kept = self.keep(endpoint, version, spec, now)
-        kept.state.look(now)
-        return kept.state
+            cached = self.compute(endpoint, version, spec, now)
+        cached.state.advance_to(now)
+        return cached.state
 
-    def keep(
+    def compute(
         self,
         endpoint: endpointset.KnownEndpoint,
         version: int,
         spec: routes.EngineSpec,
         now: float,
-    ) -> KeptState:
+    ) -> CachedState:
         """Work out a state anew."""
-        if len(self.kept) >= MAX_KEPT:
-            self.kept.clear()
+        if len(self.cached) >= MAX_CACHED_STATES:
+            self.cached.clear()
         state = enginestate.engine_state(
             endpoint.name,
-            self.works_at(endpoint),
+            self.current_work(endpoint),
             spec,
             now,
-            near=self.is_near(endpoint),
-            pace=endpoint.pace,
+            in_gateway_zone=self.is_in_gateway_zone(endpoint),
+            slowdown=endpoint.slowdown,
         )
-        kept = KeptState(endpoint, version, spec, state)
-        self.kept[endpoint.name] = kept
-        return kept
+        cached = CachedState(endpoint, version, spec, state)
+        self.cached[endpoint.name] = cached
+        return cached
 
-    def works_at(
+    def current_work(
         self, endpoint: endpointset.KnownEndpoint
     ) -> list[work_lib.Work]:
         """Return the work that an endpoint was sent since it began.
@@ -98,6 +98,6 @@
             if work.sent_at > endpoint.restarted_at
         ]
 
-    def is_near(self, endpoint: endpointset.KnownEndpoint) -> bool:
+    def is_in_gateway_zone(self, endpoint: endpointset.KnownEndpoint) -> bool:
         """Return whether an endpoint is in the gateway's zone."""
         return endpoint.announcement.availability_zone == self.availability_zone
--- a/src/_coltsfootroad/core/placement.py
+++ b/src/_coltsfootroad/core/grouping.py
@@ -65,7 +65,7 @@
         if v.name not in avoid and not v.kv_group_held
     ]
     views.sort(key=lambda v: engine_order(v, band, pool))
-    views = spare_clean_ones(views, pool, now)
+    views = put_reserved_last(views, pool, now)
     return smallest_group(request, band, views, now=True) or smallest_group(
         request, band, views, now=False
     )
@@ -97,13 +97,13 @@
     return view.announcement.kv_tokens * USABLE_SHARE >= tokens
 
 
-def spare_clean_ones(
+def put_reserved_last(
     views: list[endpoints.EndpointView],
     pool: pool_lib.ServicePool,
     now: float,
 ) -> list[endpoints.EndpointView]:
     """Put the clean engines that short prompts need at the end."""
-    kept = set(list(pool.clean.names)[-max(1, pool.short_headroom(now)) :])
+    kept = set(list(pool.short_only.names)[-max(1, pool.short_headroom(now)) :])
     return sorted(views, key=lambda v: v.name in kept)
 
 
@@ -113,7 +113,7 @@
     """Return how an engine sorts for a group."""
     waiting_s = view.speed.prefill_s(view.ahead(band))
     rank = pool_lib.fleet_rank(pool.service, view.name)
-    return (round(waiting_s, 1), view.is_clean(), rank)
+    return (round(waiting_s, 1), view.is_short_only(), rank)
 
 
 def make_plan(
--- a/src/_coltsfootroad/core/members.py
+++ b/src/_coltsfootroad/core/members.py
@@ -7,7 +7,7 @@
 # A new leader hears of each member with that one's next question, 1.2 s
 # later at the most; its first list is nearly empty. Members that the leader
 # before knew stay for somewhat longer than that.
-CARRY_S = 1.6
+CARRY_OVER_S = 1.6
 UNKNOWN_AGE_S = float("inf")
 
 
@@ -23,30 +23,30 @@
     """
 
     known: dict[str, addresses.Member] = attrs.Factory(dict)
-    carried: set[str] = attrs.Factory(set)
+    carried_over: set[str] = attrs.Factory(set)
     changes: int = 0
 
     def learn(
         self,
         changed: tuple[addresses.Member, ...],
         lost: tuple[str, ...],
-        anew: bool,
+        from_new_leader: bool,
         leader_age_s: float = UNKNOWN_AGE_S,
     ) -> None:
         """Take changes, or `anew` all that a new leader has heard so far.
 
         `leader_age_s` says for how long that leader has been listening.
         """
-        if anew:
-            self.carried = set(self.known)
-        self.carried -= {member.entry for member in changed}
+        if from_new_leader:
+            self.carried_over = set(self.known)
+        self.carried_over -= {member.entry for member in changed}
         gone = set(lost)
-        if leader_age_s >= CARRY_S:
-            gone |= self.carried
-        self.carried -= gone
+        if leader_age_s >= CARRY_OVER_S:
+            gone |= self.carried_over
+        self.carried_over -= gone
         for name in gone:
             self.known.pop(name, None)
         for member in changed:
             self.known[member.entry] = member
-        if anew or changed or gone:
+        if from_new_leader or changed or gone:
             self.changes += 1
--- a/src/_coltsfootroad/core/outliers.py
+++ b/src/_coltsfootroad/core/outliers.py
@@ -5,8 +5,8 @@
 FAILURES_TO_EJECT = 3
 EJECT_S = 5.0
 MAX_EJECT_S = 60.0
-DOWN_S = 0.5
-MAX_DOWN_S = 4.0
+REFUSED_BACKOFF_S = 0.5
+MAX_REFUSED_BACKOFF_S = 4.0
 MAX_EJECTED_SHARE = 0.34
 SLOW_RATIO = 3.0
 SLOW_SAMPLES = 5
@@ -27,7 +27,7 @@
     ejections: int = 0
     returned_at: float = float("-inf")
     refusals: int = 0
-    down_until: float = 0.0
+    backoff_until: float = 0.0
 
 
 @attrs.define
@@ -65,8 +65,11 @@
         """
         health = self.health.setdefault(endpoint, Health())
         health.refusals += 1
-        pause = min(MAX_DOWN_S, DOWN_S * 2 ** (health.refusals - 1))
-        health.down_until = now + pause
+        pause = min(
+            MAX_REFUSED_BACKOFF_S,
+            REFUSED_BACKOFF_S * 2 ** (health.refusals - 1),
+        )
+        health.backoff_until = now + pause
 
     def on_failure(self, endpoint: str, now: float) -> None:
         """Record a failed attempt."""
@@ -106,7 +109,7 @@
         health = self.health.get(endpoint)
         if health is None:
             return False
-        return now < max(health.ejected_until, health.down_until)
+        return now < max(health.ejected_until, health.backoff_until)
 
     def slow_start_factor(self, endpoint: str, now: float) -> float:
         """Return a cost factor of at least 1 that fades after a return."""
@@ -116,7 +119,7 @@
         progress = max(0.0, now - health.returned_at) / SLOW_START_S
         return 1.0 / max(progress, 0.1)
 
-    def keep(self, endpoints: set[str]) -> None:
+    def retain(self, endpoints: set[str]) -> None:
         """Forget endpoints that are no longer known."""
         for gone in set(self.health) - endpoints:
             del self.health[gone]
--- a/src/_coltsfootroad/core/policies.py
+++ b/src/_coltsfootroad/core/policies.py
@@ -14,17 +14,17 @@
 
 # Endpoints compared per choice; the cost of a choice does not grow with
 # the fleet.
-SAMPLE = 8
+SAMPLE_SIZE = 8
 # Prompt seconds ahead of a request beyond which it waits at the entry, where
 # the order can still change. Above the report lag, or engines would idle.
 MAX_AHEAD_S = 4.0
 # Clean engines that a long prompt may choose from.
-LONG_CLEAN_CHOICES = 2
+LONG_PROMPT_CHOICES = 2
 # Clean engines looked at for room.
 MAX_SCANNED = 32
 # Price, in reading times of its own, of a long prompt on a clean engine that
 # short ones need.
-DIRTYING_PRICE = 2.0
+SHORT_ONLY_PENALTY = 2.0
 
 
 @attrs.frozen(kw_only=True)
@@ -70,7 +70,7 @@
     return request.cost_tokens <= room
 
 
-def plain_choice(view, request, band=0) -> Choice:
+def uncached_choice(view, request, band=0) -> Choice:
     """Return the choice of an endpoint without any cache."""
     ahead = view.ahead(band)
     return Choice(
@@ -95,7 +95,7 @@
             self.turn += 1
             view = pool.views[names[self.turn % len(names)]]
             if fits(view, request, free=False):
-                return plain_choice(view, request)
+                return uncached_choice(view, request)
         return None
 
 
@@ -114,7 +114,7 @@
         if not views:
             return None
         pool.rng.shuffle(views)
-        return plain_choice(min(views, key=request_count), request)
+        return uncached_choice(min(views, key=request_count), request)
 
 
 def request_count(view: endpoints.EndpointView) -> int:
@@ -141,7 +141,7 @@
             return None
         picked = pool.rng.sample(names, min(2, len(names)))
         views = [pool.views[n] for n in picked]
-        return plain_choice(min(views, key=request_count), request)
+        return uncached_choice(min(views, key=request_count), request)
 
 
 class TokenBacklog(Policy):
@@ -161,7 +161,7 @@
             return None
         pool.rng.shuffle(views)
         best = min(views, key=lambda v: v.total_backlog())
-        return plain_choice(best, request)
+        return uncached_choice(best, request)
 
 
 class LengthAware(Policy):
@@ -169,7 +169,7 @@
 
     uses_priorities = True
     shares_notes = True
-    sample_size = SAMPLE
+    sample_size = SAMPLE_SIZE
     max_ahead_s = MAX_AHEAD_S
 
     def choose(self, request, band, pool, now):
@@ -183,7 +183,7 @@
             if fits(view, request, free=True)
         ]
         if not options:
-            options = self.anywhere(request, band, pool, now)
+            options = self.fallback_options(request, band, pool, now)
         if not options:
             return None
         best = min(options, key=lambda option: option[0])
@@ -192,7 +192,7 @@
             return None
         return choice
 
-    def anywhere(self, request, band, pool, now):
+    def fallback_options(self, request, band, pool, now):
         """Return options outside a sample in which nothing had room."""
         return []
 
@@ -207,7 +207,7 @@
         wanted = [
             n
             for n in names
-            if n not in have and (n in pool.clean or n in pool.dirty)
+            if n not in have and (n in pool.short_only or n in pool.mixed)
         ]
         return pool.usable(wanted, now)
 
@@ -231,9 +231,11 @@
 
     name = "ttft_all_lengths"
 
-    def anywhere(self, request, band, pool, now):
+    def fallback_options(self, request, band, pool, now):
         """Return options outside a sample in which nothing had room."""
-        names = pool.clean.first(MAX_SCANNED) + pool.dirty.first(MAX_SCANNED)
+        names = pool.short_only.first(MAX_SCANNED) + pool.mixed.first(
+            MAX_SCANNED
+        )
         return [
             self.option(view, request, band, pool, now)
             for view in pool.usable(names, now)
@@ -258,29 +260,31 @@
         """Return clean engines for a short prompt, else the long lane."""
         if band == 0:
             return pool.sample(self.sample_size, now)
-        names = pool.dirty.sample(self.sample_size, pool.rng)
-        spare = len(pool.clean) - math.ceil(pool.short_load(now))
-        if spare > 0 or not len(pool.dirty):
-            names += self.first_that_fit(request, max(1, spare), pool)
+        names = pool.mixed.sample(self.sample_size, pool.rng)
+        spare = len(pool.short_only) - math.ceil(pool.short_load(now))
+        if spare > 0 or not len(pool.mixed):
+            names += self.first_with_room(request, max(1, spare), pool)
         return pool.usable(names, now)
 
-    def first_that_fit(self, request, spare, pool):
+    def first_with_room(self, request, spare, pool):
         """Return the first spare clean engines that have room now.
 
         A clean engine may still generate for long prompts and have no room:
         with the first two of the order alone, prompts waited for those
         while a dozen others were idle.
         """
-        offered = pool.clean.first(min(spare, MAX_SCANNED))
+        offered = pool.short_only.first(min(spare, MAX_SCANNED))
         roomy = [n for n in offered if fits(pool.views[n], request, free=True)]
-        return roomy[:LONG_CLEAN_CHOICES]
+        return roomy[:LONG_PROMPT_CHOICES]
 
     def option(self, view, request, band, pool, now):
         """Add the price of taking an engine that short prompts need."""
         cost, waiting_s, choice = super().option(view, request, band, pool, now)
-        scarce = len(pool.clean) <= pool.short_headroom(now)
-        if band > 0 and scarce and view.name in pool.clean:
-            cost += DIRTYING_PRICE * view.speed.prefill_s(choice.prompt_tokens)
+        scarce = len(pool.short_only) <= pool.short_headroom(now)
+        if band > 0 and scarce and view.name in pool.short_only:
+            cost += SHORT_ONLY_PENALTY * view.speed.prefill_s(
+                choice.prompt_tokens
+            )
         return cost, waiting_s, choice
 
 
@@ -297,7 +301,7 @@
         for view in pool.views.values():
             self.refresh(view)
             pool.classify(view)
-        self.sample_size = max(SAMPLE, len(pool.views))
+        self.sample_size = max(SAMPLE_SIZE, len(pool.views))
         return super().choose(request, band, pool, now)
 
 
@@ -308,7 +312,7 @@
 
     def choose(self, request, band, pool, now):
         """Return the endpoint with the fewest own requests in flight."""
-        views = pool.sample(SAMPLE, now)
+        views = pool.sample(SAMPLE_SIZE, now)
         if not views:
             return None
         best = min(
@@ -321,8 +325,8 @@
         return Choice(endpoint=best.name, predicted_s=0.0, prompt_tokens=1)
 
 
-BASELINES = (RoundRobin, LeastRequests, TwoRandomChoices, TokenBacklog)
-OURS = (ShortSlowdown, TtftAllLengths)
+BASELINE_POLICIES = (RoundRobin, LeastRequests, TwoRandomChoices, TokenBacklog)
+LENGTH_AWARE_POLICIES = (ShortSlowdown, TtftAllLengths)
 
 
 def for_service(service: config_lib.Service) -> Policy:
--- a/src/_coltsfootroad/core/pool.py
+++ b/src/_coltsfootroad/core/pool.py
@@ -76,8 +76,8 @@
     entry: str
     rng: random.Random
     views: dict[str, endpoints.EndpointView] = attrs.Factory(dict)
-    clean: RankedNames = attrs.field(init=False)
-    dirty: RankedNames = attrs.field(init=False)
+    short_only: RankedNames = attrs.field(init=False)
+    mixed: RankedNames = attrs.field(init=False)
     leaving: set[str] = attrs.Factory(set)
     outliers: outliers_lib.OutlierDetector = attrs.Factory(
         outliers_lib.OutlierDetector
@@ -92,8 +92,8 @@
     emptied_at: float = 0.0
 
     def __attrs_post_init__(self):
-        self.clean = RankedNames(self.service)
-        self.dirty = RankedNames(self.service)
+        self.short_only = RankedNames(self.service)
+        self.mixed = RankedNames(self.service)
 
     def update(self, announcement: registry.Announcement, now: float) -> None:
         """Add an endpoint or take its new announcement."""
@@ -109,19 +109,19 @@
             self.prefixes.forget(name)
         view.announcement = announcement
         self.classify(view)
-        self.measure()
+        self.update_largest_kv()
 
     def remove(self, name: str) -> None:
         """Forget an endpoint that is gone."""
         self.views.pop(name, None)
-        self.clean.discard(name)
-        self.dirty.discard(name)
+        self.short_only.discard(name)
+        self.mixed.discard(name)
         self.leaving.discard(name)
         self.prefixes.forget(name)
-        self.outliers.keep(set(self.views))
-        self.measure()
+        self.outliers.retain(set(self.views))
+        self.update_largest_kv()
 
-    def measure(self) -> None:
+    def update_largest_kv(self) -> None:
         """Remember the largest engine, which admission asks for often."""
         self.largest_kv = max(
             (v.announcement.kv_tokens for v in self.views.values()), default=0
@@ -131,31 +131,31 @@
         """Put an endpoint into the right set after a change."""
         name = view.name
         if not view.accepts:
-            self.clean.discard(name)
-            self.dirty.discard(name)
+            self.short_only.discard(name)
+            self.mixed.discard(name)
             self.leaving.add(name)
             self.emptied_at = max(self.emptied_at, view.backlog_at)
-        elif view.is_clean():
-            self.dirty.discard(name)
-            self.clean.add(name)
+        elif view.is_short_only():
+            self.mixed.discard(name)
+            self.short_only.add(name)
         else:
-            self.clean.discard(name)
-            self.dirty.add(name)
+            self.short_only.discard(name)
+            self.mixed.add(name)
 
     def recheck(self, now: float) -> None:
         """Look at a few dirty endpoints that may have drained."""
-        for _ in range(min(RECHECKS, len(self.dirty))):
+        for _ in range(min(RECHECKS, len(self.mixed))):
             self.turn += 1
-            name = self.dirty.names[self.turn % len(self.dirty)]
+            name = self.mixed.names[self.turn % len(self.mixed)]
             view = self.views[name]
             view.advance(now)
             self.classify(view)
-            if not len(self.dirty):
+            if not len(self.mixed):
                 return
 
     def serving_count(self) -> int:
         """Return the number of endpoints that take new work."""
-        return len(self.clean) + len(self.dirty)
+        return len(self.short_only) + len(self.mixed)
 
     def usable(
         self, names: list[str], now: float
@@ -172,25 +172,25 @@
 
     def sample(self, count: int, now: float) -> list[endpoints.EndpointView]:
         """Return up to `count` usable endpoints, clean ones first."""
-        names = self.clean.sample(count, self.rng)
+        names = self.short_only.sample(count, self.rng)
         if len(names) < count:
-            names += self.dirty.sample(count - len(names), self.rng)
+            names += self.mixed.sample(count - len(names), self.rng)
         return self.usable(names, now) or self.any_usable(now)
 
     def any_usable(self, now: float) -> list[endpoints.EndpointView]:
         """Return usable endpoints when a sample held only ejected ones."""
-        return self.usable([*self.clean.names, *self.dirty.names], now)
+        return self.usable([*self.short_only.names, *self.mixed.names], now)
 
     def all_names(self) -> list[str]:
         """Return all endpoints that take new work, in a stable order."""
-        return sorted([*self.clean.names, *self.dirty.names])
+        return sorted([*self.short_only.names, *self.mixed.names])
 
-    def note_short(self, seconds: float, now: float) -> None:
+    def record_short_prompt(self, seconds: float, now: float) -> None:
         """Count the engine time of a short prompt."""
-        self.decay_short(now)
+        self.decay_short_load(now)
         self.short_seconds += seconds
 
-    def decay_short(self, now: float) -> None:
+    def decay_short_load(self, now: float) -> None:
         """Let old short prompts fade from the estimate."""
         elapsed = max(0.0, now - self.short_at)
         self.short_seconds *= math.exp(-elapsed / LOAD_WINDOW_S)
@@ -198,7 +198,7 @@
 
     def own_short_load(self, now: float) -> float:
         """Return how many engines this entry's short prompts keep busy."""
-        self.decay_short(now)
+        self.decay_short_load(now)
         return self.short_seconds / LOAD_WINDOW_S
 
     def short_headroom(self, now: float) -> int:
--- a/src/_coltsfootroad/core/prefixes.py
+++ b/src/_coltsfootroad/core/prefixes.py
@@ -8,7 +8,7 @@
 # Belief in a block that no event has confirmed since. Lost events show as a
 # gap once a later one comes; this is for an engine that stopped publishing.
 # Documents are asked about again minutes later.
-BELIEF_S = 300.0
+BLOCK_TTL_S = 300.0
 # Engines offered to routing for their cache; more would cost it time.
 MAX_HOLDERS = 4
 
@@ -98,7 +98,7 @@
         matched = 0
         for block in prefix_hashes:
             stored_at = known.blocks.get(block)
-            if stored_at is None or now - stored_at > BELIEF_S:
+            if stored_at is None or now - stored_at > BLOCK_TTL_S:
                 break
             matched += 1
         return matched / len(prefix_hashes)
--- a/src/_coltsfootroad/core/quarantine.py
+++ b/src/_coltsfootroad/core/quarantine.py
@@ -13,7 +13,7 @@
 
 # How long a request is refused before one trial of it may run. The term doubles
 # with each trial.
-FIRST_TERM_S = 60.0
+FIRST_TRIAL_DELAY_S = 60.0
 # Trials that an entry may cost. After the last one only an operator ends it.
 MAX_TRIALS = 3
 # A workspace that sends many poison requests evicts its own oldest entries
@@ -56,7 +56,7 @@
     """Return when the next trial may run after some, None for never."""
     if trials >= MAX_TRIALS:
         return None
-    return unix_s + FIRST_TERM_S * 2**trials
+    return unix_s + FIRST_TRIAL_DELAY_S * 2**trials
 
 
 @attrs.define
--- a/src/_coltsfootroad/core/registry.py
+++ b/src/_coltsfootroad/core/registry.py
@@ -14,19 +14,19 @@
 
 # The incarnation of an endpoint that states none. Such an endpoint uses a new
 # name for each start, or lets its lease run out in between.
-UNMARKED = 0
+NO_INCARNATION = 0
 # Signing off carries no number and supersedes every announcement.
-LAST_SEQ = 2**62
+SIGN_OFF_SEQ = 2**62
 # How long an ended incarnation is remembered, so that an announcement that
 # was delayed on the way cannot revive it.
 TOMBSTONE_S = 300.0
 # A sign-off within this time of a restart may have been sent by the start
 # before; announcements come seconds late at most.
-DOUBT_S = 10.0
+UNCERTAIN_SIGN_OFF_S = 10.0
 # An endpoint whose sign-off is in doubt counts again once two announcements
 # this far apart have come after it. Those that an endpoint sends before it
 # signs off arrive together if they are late.
-REVIVAL_S = 1.0
+MIN_RENEWAL_SPAN_S = 1.0
 
 
 class EndpointState(enum.Enum):
@@ -77,7 +77,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Ended:
+class Tombstone:
     """The starts of one name that have ended.
 
     Attributes:
@@ -92,7 +92,7 @@
 
 
 @attrs.define
-class Doubt:
+class UncertainSignOff:
     """A sign-off that may have been an earlier start's.
 
     Attributes:
@@ -103,7 +103,7 @@
 
     incarnation: int | None = None
     seq: int = -1
-    heard_at: float | None = None
+    renewed_at: float | None = None
 
 
 class Change(enum.Enum):
@@ -119,15 +119,15 @@
     """Keeps the newest announcement of each endpoint while its lease lasts."""
 
     registrations: dict[str, Registration] = attrs.Factory(dict)
-    tombstones: dict[str, Ended] = attrs.Factory(dict)
-    doubts: dict[str, Doubt] = attrs.Factory(dict)
+    tombstones: dict[str, Tombstone] = attrs.Factory(dict)
+    uncertain_sign_offs: dict[str, UncertainSignOff] = attrs.Factory(dict)
 
     def announce(
         self,
         announcement: Announcement,
         lease_until: float,
         now: float,
-        first_hand: bool = True,
+        from_endpoint: bool = True,
     ) -> Change:
         """Take an announcement unless a newer one is known.
 
@@ -137,15 +137,15 @@
         name = announcement.endpoint
         known = self.registrations.get(name)
         if announcement.state is EndpointState.GONE:
-            return self.sign_off(announcement, known, now, first_hand)
+            return self.sign_off(announcement, known, now, from_endpoint)
         if self.has_ended(announcement):
             return Change.NONE
         if known is not None and not is_newer(announcement, known.announcement):
             return Change.NONE
-        if not self.settles_doubt(announcement, now, first_hand):
+        if not self.resolves_sign_off(announcement, now, from_endpoint):
             return Change.NONE
         if known is not None:
-            announcement = self.follow(announcement, known.announcement, now)
+            announcement = self.supersede(announcement, known.announcement, now)
         self.registrations[name] = Registration(announcement, lease_until)
         if known is None:
             return Change.UPDATED
@@ -162,16 +162,16 @@
         ended = self.tombstones.get(announcement.endpoint)
         if ended is None:
             return False
-        if announcement.incarnation == UNMARKED and ended.replaced_at:
-            return ended.incarnation == UNMARKED
+        if announcement.incarnation == NO_INCARNATION and ended.replaced_at:
+            return ended.incarnation == NO_INCARNATION
         return announcement.incarnation <= ended.incarnation
 
-    def follow(
+    def supersede(
         self, announcement: Announcement, before: Announcement, now: float
     ) -> Announcement:
         """Return an announcement as it counts after the one before it."""
         if announcement.incarnation != before.incarnation:
-            self.tombstones[before.endpoint] = Ended(
+            self.tombstones[before.endpoint] = Tombstone(
                 incarnation=before.incarnation,
                 until=now + TOMBSTONE_S,
                 replaced_at=now,
@@ -188,7 +188,7 @@
         announcement: Announcement,
         known: Registration | None,
         now: float,
-        first_hand: bool,
+        from_endpoint: bool,
     ) -> Change:
         """Take a sign-off; one without an incarnation is the known start's.
 
@@ -196,24 +196,28 @@
         """
         name = announcement.endpoint
         incarnation = announcement.incarnation
-        latest = UNMARKED if known is None else known.announcement.incarnation
-        if incarnation == UNMARKED and first_hand:
+        latest = (
+            NO_INCARNATION if known is None else known.announcement.incarnation
+        )
+        if incarnation == NO_INCARNATION and from_endpoint:
             incarnation = latest
         if known is not None and incarnation < latest:
             return Change.NONE
-        if first_hand and self.is_doubtful(announcement, known, now):
+        if from_endpoint and self.is_uncertain(announcement, known, now):
             newest = known.announcement
-            self.doubts[name] = Doubt(newest.incarnation, newest.seq)
+            self.uncertain_sign_offs[name] = UncertainSignOff(
+                newest.incarnation, newest.seq
+            )
             del self.registrations[name]
         else:
-            self.bury(name, incarnation, now)
-        states_none = announcement.incarnation == UNMARKED
-        if first_hand and known is None and states_none:
+            self.add_tombstone(name, incarnation, now)
+        states_none = announcement.incarnation == NO_INCARNATION
+        if from_endpoint and known is None and states_none:
             # Which start it ended is not known here.
-            self.doubts[name] = Doubt()
+            self.uncertain_sign_offs[name] = UncertainSignOff()
         return Change.UPDATED
 
-    def is_doubtful(
+    def is_uncertain(
         self,
         announcement: Announcement,
         known: Registration | None,
@@ -223,45 +227,45 @@
         if known is None:
             return False
         newest = known.announcement
-        if announcement.incarnation != UNMARKED:
+        if announcement.incarnation != NO_INCARNATION:
             return False
         if newest.state is EndpointState.LEAVING:
             return False
         ended = self.tombstones.get(newest.endpoint)
         if ended is None or ended.replaced_at is None:
             return False
-        return now - ended.replaced_at < DOUBT_S
+        return now - ended.replaced_at < UNCERTAIN_SIGN_OFF_S
 
-    def settles_doubt(
-        self, announcement: Announcement, now: float, first_hand: bool
+    def resolves_sign_off(
+        self, announcement: Announcement, now: float, from_endpoint: bool
     ) -> bool:
         """Return whether an endpoint counts in spite of a sign-off."""
-        doubt = self.doubts.get(announcement.endpoint)
-        if doubt is None:
+        uncertain = self.uncertain_sign_offs.get(announcement.endpoint)
+        if uncertain is None:
             return True
-        if doubt.incarnation is None and first_hand:
-            doubt.incarnation = announcement.incarnation
-        if doubt.incarnation is None:
+        if uncertain.incarnation is None and from_endpoint:
+            uncertain.incarnation = announcement.incarnation
+        if uncertain.incarnation is None:
             return False
-        settled = announcement.incarnation > doubt.incarnation
-        if announcement.incarnation == doubt.incarnation and first_hand:
-            settled = goes_on(doubt, announcement, now)
+        settled = announcement.incarnation > uncertain.incarnation
+        if announcement.incarnation == uncertain.incarnation and from_endpoint:
+            settled = keeps_announcing(uncertain, announcement, now)
         if settled:
-            del self.doubts[announcement.endpoint]
+            del self.uncertain_sign_offs[announcement.endpoint]
         return settled
 
-    def bury(self, name: str, incarnation: int, now: float) -> None:
+    def add_tombstone(self, name: str, incarnation: int, now: float) -> None:
         """Forget an endpoint and refuse this incarnation from now on."""
         self.registrations.pop(name, None)
-        self.doubts.pop(name, None)
+        self.uncertain_sign_offs.pop(name, None)
         ended = self.tombstones.get(name)
         if ended is not None:
             incarnation = max(incarnation, ended.incarnation)
-        self.tombstones[name] = Ended(
+        self.tombstones[name] = Tombstone(
             incarnation=incarnation, until=now + TOMBSTONE_S
         )
 
-    def left_for_good(self, name: str) -> int | None:
+    def final_incarnation(self, name: str) -> int | None:
         """Return the last start that has ended, None if one may go on."""
         ended = self.tombstones.get(name)
         if ended is None or ended.replaced_at is not None:
@@ -284,18 +288,20 @@
         for name, ended in list(self.tombstones.items()):
             if ended.until <= now:
                 del self.tombstones[name]
-                self.doubts.pop(name, None)
+                self.uncertain_sign_offs.pop(name, None)
         return lapsed
 
 
-def goes_on(doubt: Doubt, announcement: Announcement, now: float) -> bool:
+def keeps_announcing(
+    uncertain: UncertainSignOff, announcement: Announcement, now: float
+) -> bool:
     """Return whether an endpoint goes on announcing itself for good."""
-    if announcement.seq <= doubt.seq:
+    if announcement.seq <= uncertain.seq:
         return False
-    doubt.seq = announcement.seq
-    if doubt.heard_at is None:
-        doubt.heard_at = now
-    return now - doubt.heard_at >= REVIVAL_S
+    uncertain.seq = announcement.seq
+    if uncertain.renewed_at is None:
+        uncertain.renewed_at = now
+    return now - uncertain.renewed_at >= MIN_RENEWAL_SPAN_S
 
 
 def is_newer(announcement: Announcement, known: Announcement) -> bool:
@@ -304,8 +310,8 @@
     return new_mark > (known.incarnation, known.seq)
 
 
-def signed_off(
-    endpoint: str, incarnation: int = UNMARKED, seq: int = LAST_SEQ
+def sign_off_announcement(
+    endpoint: str, incarnation: int = NO_INCARNATION, seq: int = SIGN_OFF_SEQ
 ) -> Announcement:
     """Return the announcement that an endpoint has ended."""
     return Announcement(
--- a/src/_coltsfootroad/core/relaychoice.py
+++ b/src/_coltsfootroad/core/relaychoice.py
@@ -11,12 +11,12 @@
 
 # A relay that gave no answer, or an old one, is not asked again for this long
 # while another one can be.
-AVOID_S = 2.0
+RELAY_BACKOFF_S = 2.0
 # Age of a relay's proof past which another one is asked: the relay is cut off
 # from the leader, or nobody leads. Well below the age at which a gateway stops
 # serving, and above what the ways of two answers add up to.
-BEHIND_S = 1.5
-ORDER_KEY = "relay"
+MAX_RELAY_PROOF_AGE_S = 1.5
+RANK_KEY = "relay"
 
 
 @attrs.define
@@ -38,7 +38,7 @@
     zone: str
     seeds: list[str]
     relays: dict[str, tuple[str, str]] = attrs.Factory(dict)
-    avoided: dict[str, float] = attrs.Factory(dict)
+    backoff_until: dict[str, float] = attrs.Factory(dict)
     hint: str = ""
     current: str = ""
     attachment: int = 0
@@ -61,21 +61,21 @@
         """Return the address to ask now."""
         address, self.hint = self.hint, ""
         if not address:
-            address = self.first(now)
+            address = self.first_available(now)
         if address != self.current:
             self.current = address
             self.attachment += 1
         return address
 
-    def first(self, now: float) -> str:
+    def first_available(self, now: float) -> str:
         """Return the first address that is not avoided, else the next to be."""
-        order = self.order()
-        for address in order:
-            if self.avoided.get(address, now) <= now:
+        ranked_addresses = self.ranked_addresses()
+        for address in ranked_addresses:
+            if self.backoff_until.get(address, now) <= now:
                 return address
-        return min(order, key=self.avoided.__getitem__)
+        return min(ranked_addresses, key=self.backoff_until.__getitem__)
 
-    def order(self) -> list[str]:
+    def ranked_addresses(self) -> list[str]:
         """Return all addresses, the most fitting first."""
         ranked = sorted(self.relays, key=self.rank)
         near = [n for n in ranked if self.relays[n][1] == self.zone]
@@ -86,15 +86,17 @@
 
     def rank(self, name: str) -> int:
         """Return the place of a relay in this gateway's order."""
-        return hashing.stable_hash(name, ORDER_KEY + self.gateway)
+        return hashing.stable_hash(name, RANK_KEY + self.gateway)
 
-    def avoid(self, address: str, now: float) -> None:
+    def back_off(self, address: str, now: float) -> None:
         """Ask others for a while, if there are any."""
-        self.avoided = {a: at for a, at in self.avoided.items() if at > now}
-        self.avoided[address] = now + AVOID_S
+        self.backoff_until = {
+            a: at for a, at in self.backoff_until.items() if at > now
+        }
+        self.backoff_until[address] = now + RELAY_BACKOFF_S
 
-    def follow(self, hint: str, address: str, now: float) -> None:
+    def follow_hint(self, hint: str, address: str, now: float) -> None:
         """Take the word of a process that cannot answer who can."""
-        self.avoid(address, now)
-        if hint and self.avoided.get(hint, now) <= now:
+        self.back_off(address, now)
+        if hint and self.backoff_until.get(hint, now) <= now:
             self.hint = hint
--- a/src/_coltsfootroad/core/releases.py
+++ b/src/_coltsfootroad/core/releases.py
@@ -21,7 +21,7 @@
 
     owner: str
     pending: dict[tuple[str, endpoints.WorkKey], float] = attrs.Factory(dict)
-    orphans: set[tuple[str, endpoints.WorkKey]] = attrs.Factory(set)
+    orphaned: set[tuple[str, endpoints.WorkKey]] = attrs.Factory(set)
 
     def release(
         self,
@@ -55,7 +55,7 @@
     def confirmed(self, endpoint: str, key: endpoints.WorkKey) -> None:
         """Stop repeating a cancel."""
         self.pending.pop((endpoint, key), None)
-        self.orphans.discard((endpoint, key))
+        self.orphaned.discard((endpoint, key))
 
     def forget_endpoint(self, endpoint: str) -> None:
         """Stop cancelling at an endpoint that is gone with its memory."""
@@ -91,7 +91,7 @@
             if (view.name, key) in self.pending or key in view.work:
                 continue
             if self.is_lost(held, view.name, members):
-                self.orphans.add((view.name, key))
+                self.orphaned.add((view.name, key))
                 found.append(self.cancel(view.name, key, None, now))
         return found
 
@@ -117,9 +117,9 @@
         )
         if not restarted and held.expires_in_s > 0:
             return False
-        return self.is_adopter(endpoint, members)
+        return self.is_responsible(endpoint, members)
 
-    def is_adopter(
+    def is_responsible(
         self, endpoint: str, members: tuple[addresses.Member, ...]
     ) -> bool:
         """Return whether this entry cleans up after others at an endpoint."""
--- a/src/_coltsfootroad/core/roster.py
+++ b/src/_coltsfootroad/core/roster.py
@@ -31,7 +31,7 @@
             old = view.announcement
             restarted = announcement.incarnation > old.incarnation
             if restarted or announcement.state is registry.EndpointState.GONE:
-                self.lose_endpoint(view, now)
+                self.fail_attempts(view, now)
             elif old.state is registry.EndpointState.LEAVING:
                 announcement = attrs.evolve(announcement, state=old.state)
         if announcement.state is registry.EndpointState.GONE:
@@ -46,7 +46,7 @@
         view = self.core.view(name)
         if view is None:
             return
-        self.lose_endpoint(view, now)
+        self.fail_attempts(view, now)
         service = self.core.endpoint_service.pop(name)
         self.core.pools[service].remove(name)
 
@@ -73,7 +73,7 @@
             if view.expired and not view.has_active_work():
                 self.drop_endpoint(name, now)
 
-    def lose_endpoint(self, view: endpoints.EndpointView, now: float) -> None:
+    def fail_attempts(self, view: endpoints.EndpointView, now: float) -> None:
         """Fail every attempt at an endpoint that died or restarted."""
         self.core.releaser.forget_endpoint(view.name)
         lost = list(view.work)
--- a/src/_coltsfootroad/core/rotation.py
+++ b/src/_coltsfootroad/core/rotation.py
@@ -22,12 +22,12 @@
 MIN_PER_ZONE = 4
 # Part of a zone's gateways in use. Small gateways see less than a request a
 # second each; deployments with more requests for each need more of them.
-SHARE = 1 / 6
+ROTATION_SHARE = 1 / 6
 RANK_KEY = "rotation"
 # What the gateways in use share of a limit that is split between gateways.
 # The others see a request only from callers with an old answer; they share
 # the rest, as all together must stay within the limit.
-USED_PART = 0.85
+ROTATION_LIMIT_SHARE = 0.85
 
 
 def choose(members: Iterable[addresses.Member]) -> tuple[addresses.Member, ...]:
@@ -39,7 +39,7 @@
     zones = fanout.by_zone(m for m in members if not m.leaving)
     chosen = []
     for found in zones.values():
-        count = max(MIN_PER_ZONE, math.ceil(SHARE * len(found)))
+        count = max(MIN_PER_ZONE, math.ceil(ROTATION_SHARE * len(found)))
         found.sort(key=rank)
         chosen.extend(found[:count])
     return tuple(chosen)
@@ -65,7 +65,7 @@
             self.chosen = choose(self.members.known.values())
         return self.chosen
 
-    def uses(self, gateway: str) -> bool:
+    def includes(self, gateway: str) -> bool:
         """Return whether callers are sent to a gateway."""
         return any(member.entry == gateway for member in self.current())
 
@@ -73,7 +73,7 @@
         """Return a gateway's part, 0 to 1, of a limit that all share."""
         used = {member.entry for member in self.current()}
         others = len(self.members.known.keys() - used)
-        part = USED_PART if others else 1.0
+        part = ROTATION_LIMIT_SHARE if others else 1.0
         if gateway in used:
             return part / len(used)
         return (1.0 - part) / max(1, others) if used else 1.0
--- a/src/_coltsfootroad/core/routedelta.py
+++ b/src/_coltsfootroad/core/routedelta.py
@@ -10,7 +10,7 @@
 from _coltsfootroad.core import routes
 
 # A place of a route: host and prefix, unique within a version.
-Place = tuple[str, str]
+RouteKey = tuple[str, str]
 # Above this part of the routes a whole version is sent, as reading it is
 # about as quick and it heals whatever a gateway may hold.
 MAX_CHANGED_SHARE = 0.5
@@ -31,13 +31,13 @@
     base: int
     version: int
     changed: tuple[routes.Route, ...] = ()
-    dropped: tuple[Place, ...] = ()
+    dropped: tuple[RouteKey, ...] = ()
     services: tuple[routes.ServiceSpec, ...] | None = None
     holders: tuple[routes.KeyHolder, ...] | None = None
     limits: routes.CallerLimits | None = None
 
 
-def by_place(config: routes.RouteConfig) -> dict[Place, routes.Route]:
+def by_key(config: routes.RouteConfig) -> dict[RouteKey, routes.Route]:
     """Return the routes of a version by their places."""
     return {(route.host, route.prefix): route for route in config.routes}
 
@@ -46,7 +46,7 @@
     old: routes.RouteConfig, new: routes.RouteConfig
 ) -> RouteDelta | None:
     """Return what changed, None where the whole version is as good."""
-    before, after = by_place(old), by_place(new)
+    before, after = by_key(old), by_key(new)
     changed = tuple(
         route for place, route in after.items() if before.get(place) != route
     )
@@ -69,7 +69,7 @@
     """Return the newer version, None if the delta is not from `old` on."""
     if old is None or old.version != delta.base:
         return None
-    found = by_place(old)
+    found = by_key(old)
     for place in delta.dropped:
         found.pop(place, None)
     found.update({(r.host, r.prefix): r for r in delta.changed})
--- a/src/_coltsfootroad/core/routes.py
+++ b/src/_coltsfootroad/core/routes.py
@@ -150,7 +150,7 @@
     services = {service.name for service in config.services}
     places: set[tuple[str, str]] = set()
     for route in config.routes:
-        fault = route_fault(route, services)
+        fault = route_error(route, services)
         if fault:
             return invalid(f"route {route.name!r}: {fault}")
         place = (route.host, route.prefix)
@@ -163,7 +163,7 @@
     return check_keys(config.holders)
 
 
-def route_fault(route: Route, services: set[str]) -> str:
+def route_error(route: Route, services: set[str]) -> str:
     """Return what is wrong with one route, empty if nothing is."""
     for split in route.splits:
         if split.service not in services:
--- a/src/_coltsfootroad/core/syncing.py
+++ b/src/_coltsfootroad/core/syncing.py
@@ -11,7 +11,7 @@
 from _coltsfootroad.core import registry
 
 # Shortest time between two heartbeats that go out before their time.
-MIN_HURRY_S = 0.1
+MIN_EARLY_SYNC_GAP_S = 0.1
 LOAD_DIGITS = 4
 
 
@@ -25,7 +25,7 @@
 
     core: hosts.SyncHost
     wants_sync: bool = False
-    hurried_at: float = float("-inf")
+    early_sync_at: float = float("-inf")
     registry_epoch: str = ""
     registry_mark: int = 0
     announced: dict[str, registry.Announcement] = attrs.Factory(dict)
@@ -71,14 +71,14 @@
             holdings=holdings,
         )
 
-    def hurry(self, now: float) -> None:
+    def request_early_sync(self, now: float) -> None:
         """Ask for a heartbeat before its time, within a rate.
 
         A leader that cannot grant yet would otherwise be asked again at
         every answer: hundreds of heartbeats a second after each failover.
         """
-        if now - self.hurried_at >= MIN_HURRY_S:
-            self.hurried_at = now
+        if now - self.early_sync_at >= MIN_EARLY_SYNC_GAP_S:
+            self.early_sync_at = now
             self.wants_sync = True
 
     def take(
@@ -96,7 +96,7 @@
         self.core.freshness.member_view.learn(
             reply.members,
             reply.lost_members,
-            anew=reply.epoch != self.registry_epoch,
+            from_new_leader=reply.epoch != self.registry_epoch,
         )
         self.core.limits.apply(reply.shares, asked_at, now)
         if reply.epoch != self.registry_epoch:
--- a/src/_coltsfootroad/gateway/admission.py
+++ b/src/_coltsfootroad/gateway/admission.py
@@ -6,9 +6,9 @@
 from expression import Result
 from tornado import httputil
 
+from _coltsfootroad.core import engineplacement
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import routes
-from _coltsfootroad.core import spread
 from _coltsfootroad.gateway import names as names_lib
 
 MS = 1000
@@ -65,7 +65,7 @@
     service: routes.ServiceSpec
     workspace: str
     deadline: float
-    prompt: spread.Prompt | None
+    prompt: engineplacement.Prompt | None
     returned: bool
 
 
@@ -163,12 +163,12 @@
     return None
 
 
-def prompt_of(text: str, route: routes.Route) -> spread.Prompt | None:
+def prompt_of(text: str, route: routes.Route) -> engineplacement.Prompt | None:
     """Return the prompt that a header tells of, None if it tells of none."""
     prompt, _, output = text.partition(",")
     if not (prompt.strip().isdigit() and output.strip().isdigit()):
         return None
-    return spread.Prompt(
+    return engineplacement.Prompt(
         prompt_tokens=int(prompt),
         output_tokens=int(output),
         target_s=route.target_s,
--- a/src/_coltsfootroad/gateway/contentguard.py
+++ b/src/_coltsfootroad/gateway/contentguard.py
@@ -88,8 +88,8 @@
         if self.on_trial or not reporter.may_suspect(*self.size):
             return None
         fingerprint = self.fingerprint()
-        isolates = reporter.isolation.isolates(fingerprint)
-        return fingerprint if isolates else None
+        is_isolated = reporter.isolation.is_isolated(fingerprint)
+        return fingerprint if is_isolated else None
 
     def note_answered(self) -> None:
         """Note that an endpoint has run the request and lives."""
--- a/src/_coltsfootroad/gateway/crashreporter.py
+++ b/src/_coltsfootroad/gateway/crashreporter.py
@@ -75,7 +75,7 @@
 
     def report_again(self) -> None:
         """Report everything to a leader that may know nothing of it."""
-        oldest = clocks.boot_time() - crashrecord.WINDOW_S
+        oldest = clocks.boot_time() - crashrecord.EVIDENCE_WINDOW_S
         self.kept = {
             endpoint: crash
             for endpoint, crash in self.kept.items()
--- a/src/_coltsfootroad/gateway/engines.py
+++ b/src/_coltsfootroad/gateway/engines.py
@@ -6,12 +6,12 @@
 
 from _coltsfootroad.core import candidates
 from _coltsfootroad.core import endpointset
-from _coltsfootroad.core import enginebook
+from _coltsfootroad.core import engineplacement
 from _coltsfootroad.core import enginestate
+from _coltsfootroad.core import enginestatecache
 from _coltsfootroad.core import fingerprints
 from _coltsfootroad.core import isolation as isolation_lib
 from _coltsfootroad.core import routes
-from _coltsfootroad.core import spread
 from _coltsfootroad.core import workload
 from _coltsfootroad.gateway import tickets
 
@@ -39,18 +39,18 @@
     availability_zone: str
     rng: random.Random
     isolation: isolation_lib.Isolation = attrs.Factory(isolation_lib.Isolation)
-    limits: candidates.Limits = candidates.USUAL
-    book: enginebook.EngineBook = attrs.field(init=False)
+    limits: candidates.CandidateLimits = candidates.DEFAULT_LIMITS
+    book: enginestatecache.EngineStateCache = attrs.field(init=False)
 
     def __attrs_post_init__(self):
-        self.book = enginebook.EngineBook(
+        self.book = enginestatecache.EngineStateCache(
             self.load.index, self.availability_zone
         )
 
     def choose(
         self,
         spec: routes.ServiceSpec,
-        prompt: spread.Prompt | None,
+        prompt: engineplacement.Prompt | None,
         avoid: set[str],
         now: float,
         suspect: fingerprints.Fingerprint | None = None,
@@ -60,42 +60,44 @@
         A suspect of crashes goes where no other one is sent.
         """
         self.load.expire(now)
-        known = self.endpoints.of_service(spec.name)
+        known = self.endpoints.serving_endpoints(spec.name)
         if suspect is not None:
             known = self.isolation.select(suspect, known, avoid, now)
-        drawn = candidates.draw(known, now, avoid, self.rng, self.limits.drawn)
-        if not drawn:
+        sampled = candidates.sample_endpoints(
+            known, now, avoid, self.rng, self.limits.sampled
+        )
+        if not sampled:
             return None
         if spec.engine is None or prompt is None:
-            return self.least_loaded(drawn)
-        return self.placed(spec, prompt, drawn, now)
+            return self.least_loaded(sampled)
+        return self.placed(spec, prompt, sampled, now)
 
-    def least_loaded(self, drawn: list[endpointset.KnownEndpoint]) -> Choice:
+    def least_loaded(self, sampled: list[endpointset.KnownEndpoint]) -> Choice:
         """Return the endpoint with the least work; the first of equal ones."""
-        loads = [len(self.book.works_at(known)) for known in drawn]
+        loads = [len(self.book.current_work(known)) for known in sampled]
         least = min(loads)
-        return Choice(endpoint=drawn[loads.index(least)], load=least)
+        return Choice(endpoint=sampled[loads.index(least)], load=least)
 
     def placed(
         self,
         spec: routes.ServiceSpec,
-        prompt: spread.Prompt,
-        drawn: list[endpointset.KnownEndpoint],
+        prompt: engineplacement.Prompt,
+        sampled: list[endpointset.KnownEndpoint],
         now: float,
     ) -> Choice | None:
         """Return the cheapest engines for a prompt."""
         engine = spec.engine
-        long = spread.may_split(prompt)
+        long = engineplacement.may_split(prompt)
         places = self.limits.long if long else self.limits.short
-        picked = candidates.pick(
-            drawn,
+        picked = candidates.select_candidates(
+            sampled,
             self.load.index,
             places,
             self.availability_zone,
             engine.slots,
         )
         states = [self.book.state(known, engine, now) for known in picked]
-        placement = spread.place(prompt, states, engine)
+        placement = engineplacement.place(prompt, states, engine)
         if placement is None:
             return None
         by_name = {known.name: known for known in picked}
@@ -109,9 +111,10 @@
             ),
             predicted_s=placement.first_event_s,
             cost=placement.cost,
-            load=len(self.book.works_at(lead)),
+            load=len(self.book.current_work(lead)),
             late_waiting=self.late_waiting(spec.name),
-            places=engine.slots * len(self.endpoints.of_service(spec.name)),
+            places=engine.slots
+            * len(self.endpoints.serving_endpoints(spec.name)),
         )
 
     def late_waiting(self, service: str) -> int:
@@ -130,4 +133,4 @@
     ) -> float:
         """Return for how long an engine is known to read prompts still."""
         works = self.load.at_endpoint(known.name)
-        return enginestate.reading_left_s(works, engine, now)
+        return enginestate.remaining_prefill_s(works, engine, now)
--- a/src/_coltsfootroad/gateway/health.py
+++ b/src/_coltsfootroad/gateway/health.py
@@ -31,7 +31,7 @@
         return
     misdirected = sink.genuine and sink.status == answers.MISDIRECTED
     if misdirected and not choice.helpers:
-        endpoints.bury(name, choice.endpoint.announcement.incarnation)
+        endpoints.add_tombstone(name, choice.endpoint.announcement.incarnation)
         LOG.info("endpoint is another now", endpoint=name)
     elif outcome in FAILURES:
         for failed in blamed(choice, sink, sink.names):
--- a/src/_coltsfootroad/gateway/ownwork.py
+++ b/src/_coltsfootroad/gateway/ownwork.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from _coltsfootroad.core import spread
+from _coltsfootroad.core import engineplacement
 from _coltsfootroad.core import work as work_lib
 from _coltsfootroad.gateway import engines
 
@@ -22,7 +22,7 @@
     def begin(
         self,
         choice: engines.Choice,
-        prompt: spread.Prompt | None,
+        prompt: engineplacement.Prompt | None,
         late: bool,
         now: float,
     ) -> None:
@@ -72,7 +72,7 @@
 
 
 def describe(
-    work: work_lib.Work, prompt: spread.Prompt, parts: int, late: bool
+    work: work_lib.Work, prompt: engineplacement.Prompt, parts: int, late: bool
 ) -> None:
     """Say what a prompt is at one of the endpoints that read it."""
     work.prompt_tokens = prompt.prompt_tokens
--- a/src/_coltsfootroad/gateway/server.py
+++ b/src/_coltsfootroad/gateway/server.py
@@ -46,9 +46,9 @@
 # for a few seconds; after it, one that needs long would be cut off.
 ACCEPT_WHILE_STOPPING_S = 3.0
 LEARNED_TEXTS = {
-    endpointset.Learned.NEW: "endpoint announced",
-    endpointset.Learned.ENDED: "endpoint left",
-    endpointset.Learned.RESTARTED: "endpoint restarted",
+    endpointset.AnnouncementResult.NEW: "endpoint announced",
+    endpointset.AnnouncementResult.ENDED: "endpoint left",
+    endpointset.AnnouncementResult.RESTARTED: "endpoint restarted",
 }
 # Left of the grace period when the process must be done.
 STOP_MARGIN_S = 0.6
@@ -214,7 +214,7 @@
         """Take an endpoint's announcement."""
         before = self.endpoints.known.get(announcement.endpoint)
         learned = self.endpoints.learn(announcement, clocks.boot_time())
-        if learned is endpointset.Learned.OLD:
+        if learned is endpointset.AnnouncementResult.OLD:
             return
         LOG.info(
             LEARNED_TEXTS[learned],
@@ -224,7 +224,7 @@
             state=announcement.state.value,
             address=announcement.address,
         )
-        if learned is endpointset.Learned.RESTARTED:
+        if learned is endpointset.AnnouncementResult.RESTARTED:
             # Connections kept to the earlier start are dead.
             self.pool(before.announcement.address).close()
 
--- a/src/_coltsfootroad/gateway/watch.py
+++ b/src/_coltsfootroad/gateway/watch.py
@@ -128,7 +128,7 @@
             self.learn_relays(found.relays)
             return True
         hint = found.hint if isinstance(found, outcomes.NotLeader) else ""
-        self.choice.follow(hint, address, now)
+        self.choice.follow_hint(hint, address, now)
         reason = answer.error if answer.is_error() else type(found).__name__
         self.note_link(False, f"{address}: {reason}")
         return False
@@ -151,13 +151,13 @@
     def hold_s(self) -> float:
         """Return for how long an answer without news may be held back."""
         gateway = self.gateway
-        used = gateway.view.rotation.uses(gateway.settings.gateway)
+        used = gateway.view.rotation.includes(gateway.settings.gateway)
         return HOLD_S if used else SPARE_HOLD_S
 
     def backlog_page(self) -> tuple[registry.Announcement, ...]:
         """Return the announcements of the next request, as known now."""
         if self.backlog.pending:
-            self.backlog.refresh(self.gateway.endpoints.everything())
+            self.backlog.refresh(self.gateway.endpoints.current_announcements())
         return self.backlog.page()
 
     def member(self) -> addresses.Member:
@@ -195,7 +195,7 @@
             gateway.crash_reporter.report_again()
         self.backlog.settle(question.announcements)
         if changes.whole and self.epoch:
-            self.backlog.add_all(gateway.endpoints.everything())
+            self.backlog.add_all(gateway.endpoints.current_announcements())
         self.epoch = news.epoch
         self.mark = news.registry_mark
         self.choice.learn_seeds(news.replicas)
@@ -218,14 +218,14 @@
         gateway.view.confirm(asked_at - news.proof_age_s)
         gateway.note_members()
         gateway.start_up.on_news(news.registry_age_s, clocks.boot_time())
-        if news.proof_age_s > relaychoice.BEHIND_S:
+        if news.proof_age_s > relaychoice.MAX_RELAY_PROOF_AGE_S:
             now = clocks.boot_time()
             LOG.info(
                 "relay is behind",
                 address=self.choice.current,
                 proof_age_s=round(news.proof_age_s, 3),
             )
-            self.choice.avoid(self.choice.current, now)
+            self.choice.back_off(self.choice.current, now)
 
     def learn_relays(self, relays: tuple[watching.Relay, ...]) -> None:
         """Note relays that can be asked."""
--- a/src/_coltsfootroad/replay/player.py
+++ b/src/_coltsfootroad/replay/player.py
@@ -26,11 +26,14 @@
 SEED = 7
 BLOCK_LENGTH = 1_024
 POLICIES = (
-    *(policy.name for policy in policies.BASELINES),
-    *(policy.name for policy in policies.OURS),
+    *(policy.name for policy in policies.BASELINE_POLICIES),
+    *(policy.name for policy in policies.LENGTH_AWARE_POLICIES),
     policies.Oracle.name,
 )
-BY_NAME = {p.name: p for p in (*policies.BASELINES, *policies.OURS)}
+BY_NAME = {
+    p.name: p
+    for p in (*policies.BASELINE_POLICIES, *policies.LENGTH_AWARE_POLICIES)
+}
 
 
 def policy_factory(name: str, world: world_lib.World):
