--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -186,7 +186,7 @@
         assert index.late == {name: keys for name, keys in late.items() if keys}
         for name, works in wanted.items():
             reading = any(not work.writing for work in works.values())
-            assert index.at(name).is_reading == reading
+            assert index.at(name).is_prefilling == reading
 
     check()
 
@@ -286,7 +286,7 @@
     found = [
         one
         for one in context.picked
-        if not context.load.index.at(one.name).is_reading
+        if not context.load.index.at(one.name).is_prefilling
     ]
     assert len(found) >= count, len(found)
 
--- a/features/steps/controlquarantine_steps.py
+++ b/features/steps/controlquarantine_steps.py
@@ -36,7 +36,7 @@
                 age_s=age_s,
                 suspects=tuple(
                     crashreports.AgedSuspect(
-                        fingerprint=ledgerpatterns.print_of(name),
+                        fingerprint=ledgerpatterns.fingerprint_of(name),
                         in_flight_s=FLIGHT_S,
                     )
                     for name in suspects
@@ -91,7 +91,7 @@
 
 @given("an entry of an operator")
 def an_operators_entry(context):
-    add(context.site, ledgerpatterns.print_of("poison"))
+    add(context.site, ledgerpatterns.fingerprint_of("poison"))
     context.site.run_until(context.site.now + SETTLE_S)
 
 
@@ -99,7 +99,7 @@
 def answer_reported(context, whom):
     name = "other" if "another" in whom else "poison"
     cleared = crashreports.ReportCrashes(
-        gateway="g9", cleared=(ledgerpatterns.print_of(name),)
+        gateway="g9", cleared=(ledgerpatterns.fingerprint_of(name),)
     )
     site = context.site
     answers = []
@@ -203,7 +203,7 @@
     hub = context.site.leader().node.hub
     published = hub.book.quarantined.values()
     assert [entry.fingerprint for entry in published] == [
-        ledgerpatterns.print_of("poison")
+        ledgerpatterns.fingerprint_of("poison")
     ]
 
 
@@ -214,12 +214,13 @@
         send(
             site,
             crashreports.EndQuarantine(
-                fingerprint=ledgerpatterns.print_of("poison"), reason="test"
+                fingerprint=ledgerpatterns.fingerprint_of("poison"),
+                reason="test",
             ),
         )
     else:
         for number in range(quarantine.MAX_PER_WORKSPACE):
-            add(site, ledgerpatterns.print_of(f"r{number}"))
+            add(site, ledgerpatterns.fingerprint_of(f"r{number}"))
     site.run_until(site.now + SETTLE_S)
     send(site, report(9, suspects=("other",)))
     # A report that was late on its way.
@@ -229,7 +230,7 @@
 @then("the first entry is not among them")
 def first_is_gone(context):
     entries = context.site.leader().node.state.quarantine.entries
-    assert ledgerpatterns.print_of("poison") not in entries
+    assert ledgerpatterns.fingerprint_of("poison") not in entries
 
 
 # --- trials ------------------------------------------------------------------
@@ -245,7 +246,8 @@
         site.call(
             name,
             crashreports.StartTrial(
-                fingerprint=ledgerpatterns.print_of("poison"), gateway=gateway
+                fingerprint=ledgerpatterns.fingerprint_of("poison"),
+                gateway=gateway,
             ),
             roam=False,
         )
@@ -291,8 +293,10 @@
 )
 def many_entries(context, count):
     site = context.site
-    wanted = [ledgerpatterns.print_of("other", "other")]
-    wanted += [ledgerpatterns.print_of(f"r{number}") for number in range(count)]
+    wanted = [ledgerpatterns.fingerprint_of("other", "other")]
+    wanted += [
+        ledgerpatterns.fingerprint_of(f"r{number}") for number in range(count)
+    ]
     for fingerprint in wanted:
         add(site, fingerprint)
     assert count > quarantine.MAX_PER_WORKSPACE
@@ -301,7 +305,7 @@
 @then("the other workspace's entry is among them")
 def other_kept(context):
     entries = context.site.leader().node.state.quarantine.entries
-    assert ledgerpatterns.print_of("other", "other") in entries
+    assert ledgerpatterns.fingerprint_of("other", "other") in entries
 
 
 @when("a snapshot without a quarantine is loaded")
--- a/features/steps/crashledger_steps.py
+++ b/features/steps/crashledger_steps.py
@@ -17,7 +17,7 @@
     if pattern == "a request is answered between its crashes":
         ledger = ledgerpatterns.ledger_of(ledgerpatterns.in_a_row(2, "popular"))
         ledger.clear(
-            ledgerpatterns.print_of("popular"),
+            ledgerpatterns.fingerprint_of("popular"),
             2 * ledgerpatterns.STEP_S - ledgerpatterns.RUN_S,
         )
         for report in ledgerpatterns.in_a_row(2, "popular", first=2):
@@ -25,20 +25,22 @@
     elif pattern == "an old report comes after the request was answered":
         ledger = ledgerpatterns.ledger_of(ledgerpatterns.in_a_row(2, "popular"))
         ledger.clear(
-            ledgerpatterns.print_of("popular"), 3 * ledgerpatterns.STEP_S
+            ledgerpatterns.fingerprint_of("popular"), 3 * ledgerpatterns.STEP_S
         )
         for report in ledgerpatterns.in_a_row(3, "popular"):
             ledger.record(report, 4 * ledgerpatterns.STEP_S)
     else:
         ledger = ledgerpatterns.ledger_of(ledgerpatterns.PATTERNS[pattern])
-    context.culprits = ledgerpatterns.convicted_by(ledger)
+    context.culprits = ledgerpatterns.culprits_of(ledger)
 
 
 @then("convicted are: {names}")
 def convicted_are(context, names):
     wanted = [] if names == "nothing" else names.split()
     found = set(context.culprits)
-    assert found == {ledgerpatterns.print_of(name) for name in wanted}, found
+    assert found == {
+        ledgerpatterns.fingerprint_of(name) for name in wanted
+    }, found
 
 
 @when("poison is convicted and a bystander was in flight at two of its crashes")
@@ -47,7 +49,7 @@
         2, "poison", "bystander", first=1
     )
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.culprits = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.culprits_of(context.ledger)
 
 
 @when("the bystander meets another crash")
@@ -56,7 +58,7 @@
     context.ledger.record(
         ledgerpatterns.crash(9, at, bystander=at - ledgerpatterns.RUN_S), at
     )
-    context.culprits += ledgerpatterns.convicted_by(context.ledger, "poison")
+    context.culprits += ledgerpatterns.culprits_of(context.ledger, "poison")
 
 
 @when(
@@ -75,12 +77,12 @@
 def missed(context):
     (report,) = ledgerpatterns.in_a_row(1, "popular", first=8)
     context.ledger.record(report, report.at)
-    context.culprits = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.culprits_of(context.ledger)
 
 
 @when("the first of the poison requests is convicted")
 def first_convicted(context):
-    context.culprits = ledgerpatterns.convicted_by(context.ledger, "poison0")
+    context.culprits = ledgerpatterns.culprits_of(context.ledger, "poison0")
 
 
 @when("two endpoints crash under poison and a popular request")
@@ -99,7 +101,7 @@
         if name != "nobody":
             sent = {name: at - ledgerpatterns.RUN_S}
             context.ledger.record(ledgerpatterns.crash(2, at, **sent), now)
-        context.culprits += ledgerpatterns.convicted_by(context.ledger, now=now)
+        context.culprits += ledgerpatterns.culprits_of(context.ledger, now=now)
 
 
 @when(
@@ -110,7 +112,7 @@
     context.ledger.record(
         ledgerpatterns.crash(9, at, popular=at - ledgerpatterns.RUN_S), at
     )
-    context.culprits += ledgerpatterns.convicted_by(
+    context.culprits += ledgerpatterns.culprits_of(
         context.ledger, "poison", now=at + gap
     )
 
@@ -122,10 +124,10 @@
 def five_explained(context):
     reports = ledgerpatterns.in_a_row(3, "poison")
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.culprits = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.culprits_of(context.ledger)
     for report in ledgerpatterns.in_a_row(5, "poison", "popular", first=3):
         context.ledger.record(report, report.at)
-        found = ledgerpatterns.convicted_by(context.ledger, "poison")
+        found = ledgerpatterns.culprits_of(context.ledger, "poison")
         context.culprits += found
 
 
@@ -133,7 +135,7 @@
 def two_alone(context):
     for report in ledgerpatterns.in_a_row(2, "popular", first=8):
         context.ledger.record(report, report.at)
-    context.culprits += ledgerpatterns.convicted_by(context.ledger, "poison")
+    context.culprits += ledgerpatterns.culprits_of(context.ledger, "poison")
 
 
 @when(
@@ -144,7 +146,7 @@
     reports = ledgerpatterns.in_a_row(4, "poison", "popular")
     reports += ledgerpatterns.in_a_row(1, "poison", first=4)
     context.ledger = ledgerpatterns.ledger_of(reports)
-    context.culprits = ledgerpatterns.convicted_by(context.ledger)
+    context.culprits = ledgerpatterns.culprits_of(context.ledger)
 
 
 @when(
@@ -158,12 +160,12 @@
         crash = ledgerpatterns.crash(number, at, popular=at - 0.05)
         stop = ledgerpatterns.crash(number, at - after, poison=at - after - 0.1)
         if when == "before":
-            ledger.note_stopped(stop)
+            ledger.record_stopped(stop)
             ledger.record(crash, at)
         else:
             ledger.record(crash, at)
-            ledger.note_stopped(stop)
-    context.culprits += ledgerpatterns.convicted_by(ledger, "poison")
+            ledger.record_stopped(stop)
+    context.culprits += ledgerpatterns.culprits_of(ledger, "poison")
 
 
 @when(
@@ -182,7 +184,7 @@
     reports = [unknown, again] if when == "before" else [again, unknown]
     for report in reports:
         context.ledger.record(report, at)
-    context.culprits += ledgerpatterns.convicted_by(context.ledger)
+    context.culprits += ledgerpatterns.culprits_of(context.ledger)
 
 
 @then("no suspect is counted at a crash before it was sent")
@@ -208,8 +210,8 @@
 def answered_later(context, names, after):
     now = 4 * ledgerpatterns.STEP_S + after
     for name in names.split(" and "):
-        context.ledger.clear(ledgerpatterns.print_of(name), now)
-        context.culprits += ledgerpatterns.convicted_by(context.ledger, now=now)
+        context.ledger.clear(ledgerpatterns.fingerprint_of(name), now)
+        context.culprits += ledgerpatterns.culprits_of(context.ledger, now=now)
 
 
 @then("any order of {count:d} reports convicts the same request")
@@ -220,9 +222,9 @@
     assert len(reports) == count
     for order in itertools.permutations(reports):
         found = set(
-            ledgerpatterns.convicted_by(ledgerpatterns.ledger_of(list(order)))
+            ledgerpatterns.culprits_of(ledgerpatterns.ledger_of(list(order)))
         )
-        assert found == {ledgerpatterns.print_of("poison")}, order
+        assert found == {ledgerpatterns.fingerprint_of("poison")}, order
 
 
 @when("the ledger takes {attack}")
@@ -236,7 +238,7 @@
                 ledgerpatterns.crash(number, at, **{f"r{number}": at}), at
             )
         else:
-            ledger.clear(ledgerpatterns.print_of(f"r{number}"), at)
+            ledger.clear(ledgerpatterns.fingerprint_of(f"r{number}"), at)
 
 
 @then("it holds at most {most:d} crashes and {cleared:d} cleared requests")
--- a/features/steps/fanout_steps.py
+++ b/features/steps/fanout_steps.py
@@ -77,7 +77,7 @@
         bed.view.member_view.learn(context.members, (), True)
         # All of them, whatever part of a zone is in use otherwise.
         rotation = bed.view.rotation
-        rotation.seen = bed.view.member_view.changes
+        rotation.seen_changes = bed.view.member_view.changes
         rotation.chosen = context.members
         teller = gossip_lib.Gossip(bed)
         teller.transport = Socket(context.wires, teller)
@@ -97,7 +97,7 @@
         near = tuple(m for m in context.members if m.entry.startswith("z1"))
         view.member_view.learn(near, (), True)
         view.member_view.known = {m.entry: m for m in near}
-        view.rotation.seen = view.member_view.changes
+        view.rotation.seen_changes = view.member_view.changes
         view.rotation.chosen = near
 
 
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -17,7 +17,7 @@
 DOWN_UNTIL = 200.0
 
 
-def print_of(number: int) -> fingerprints.Fingerprint:
+def fingerprint_of(number: int) -> fingerprints.Fingerprint:
     """Return the fingerprint of a suspect."""
     return fingerprints.compute("POST", "h", "/x", "acme", b"%d" % number)
 
@@ -47,7 +47,7 @@
 
 @given("{suspects:d} suspects and {engines:d} engines, {down:d} of them down")
 def given_suspects(context, suspects, engines, down):
-    context.suspects = [print_of(number) for number in range(suspects)]
+    context.suspects = [fingerprint_of(number) for number in range(suspects)]
     context.engines = [
         engine(number, is_down=number < down) for number in range(engines)
     ]
@@ -83,7 +83,7 @@
 @then("only suspects are isolated")
 def only_suspects(context):
     assert all(map(context.isolation.is_isolated, context.suspects))
-    assert not context.isolation.is_isolated(print_of(-1))
+    assert not context.isolation.is_isolated(fingerprint_of(-1))
 
 
 @given(
--- a/features/support/crashhistories.py
+++ b/features/support/crashhistories.py
@@ -244,7 +244,7 @@
 def convicts_nobody(pattern: str) -> None:
     """Report crashes that prove nothing."""
     ledger = ledgerpatterns.ledger_of(ledgerpatterns.PATTERNS[pattern])
-    assert not ledgerpatterns.convicted_by(ledger)
+    assert not ledgerpatterns.culprits_of(ledger)
 
 
 def one_crash_counts_once() -> None:
--- a/features/support/ledgerpatterns.py
+++ b/features/support/ledgerpatterns.py
@@ -13,7 +13,9 @@
 END_S = 10_000.0
 
 
-def print_of(name: str, workspace: str = "acme") -> fingerprints.Fingerprint:
+def fingerprint_of(
+    name: str, workspace: str = "acme"
+) -> fingerprints.Fingerprint:
     """Return the fingerprint of a request of the test."""
     return fingerprints.compute("POST", "h", "/x", workspace, name.encode())
 
@@ -24,7 +26,7 @@
         endpoint=crashes.EndpointKey(endpoint=f"e{number}", incarnation=1),
         at=at,
         suspects=tuple(
-            crashes.Suspect(fingerprint=print_of(name), sent_at=sent)
+            crashes.Suspect(fingerprint=fingerprint_of(name), sent_at=sent)
             for name, sent in sent_at.items()
         ),
     )
@@ -74,7 +76,7 @@
             report,
             suspects=tuple(
                 attrs.evolve(suspect, has_output=True)
-                if suspect.fingerprint == print_of(name)
+                if suspect.fingerprint == fingerprint_of(name)
                 else suspect
                 for suspect in report.suspects
             ),
@@ -137,9 +139,11 @@
     return ledger
 
 
-def convicted_by(
+def culprits_of(
     ledger, *known: str, now: float = END_S
 ) -> list[fingerprints.Fingerprint]:
     """Return who is convicted beside those that are already."""
-    verdicts = ledger.find_culprits([print_of(name) for name in known], now)
+    verdicts = ledger.find_culprits(
+        [fingerprint_of(name) for name in known], now
+    )
     return [verdict.fingerprint for verdict in verdicts]
--- a/src/_coltsfootroad/control/hub.py
+++ b/src/_coltsfootroad/control/hub.py
@@ -341,7 +341,7 @@
         for fingerprint in report.cleared:
             self.crashes.clear(fingerprint, now)
         for aged in report.stopped:
-            self.crashes.note_stopped(crashreports.with_times(aged, now))
+            self.crashes.record_stopped(crashreports.with_times(aged, now))
         for aged in report.crashes:
             self.crashes.record(crashreports.with_times(aged, now), now)
         self.publish_suspects()
--- a/src/_coltsfootroad/core/__init__.py
+++ b/src/_coltsfootroad/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decision core without input or output; every call takes `now`."""
+"""Decision core without I/O; callers pass the time as `now`."""
--- a/src/_coltsfootroad/core/candidates.py
+++ b/src/_coltsfootroad/core/candidates.py
@@ -1,10 +1,9 @@
-"""Which engines a choice looks at when there are more than it can compare.
+"""Selects the engines that a choice compares in a large fleet.
 
-The pattern it answers: hundreds of engines, of which any will do for a short
-prompt and a dozen idle ones for a long one. Comparing all makes each choice
-slower with every engine; comparing a few drawn at random overlooks the idle
-ones when most are busy. So many are looked at briefly, and the most fitting of
-these are compared.
+Comparing all engines makes each choice slower with every engine that is added.
+Comparing a few random ones misses the idle engines when most are busy, and a
+long prompt needs a dozen of those. So a large random sample is classified
+cheaply, and only the most suitable engines of it are compared in full.
 """
 
 from collections.abc import Iterable
@@ -18,12 +17,12 @@
 
 @attrs.frozen(kw_only=True)
 class CandidateCounts:
-    """How many engines of each kind are compared.
+    """Number of engines of each kind to compare.
 
     Attributes:
-        idle: Without any work.
-        writing: That write answers and read nothing.
-        reading: That read prompts.
+        idle: Engines without work.
+        decoding: Engines that only decode.
+        prefilling: Engines that prefill prompts.
     """
 
     idle: int
@@ -32,7 +31,7 @@
 
     @property
     def total(self) -> int:
-        """Return how many engines are compared."""
+        """Return the number of engines of all kinds."""
         return self.idle + self.decoding + self.prefilling
 
 
@@ -41,12 +40,12 @@
     """Bounds on a choice.
 
     Attributes:
-        drawn: Endpoints that are looked at briefly. With one engine in five
-            idle, this finds as many idle ones as a long prompt is read on.
-        short: Compared for a short prompt. It goes to an engine that writes
-            others' answers if one has room; idle ones are all alike.
-        long: Compared for a long prompt, which is read on idle engines if
-            there are enough.
+        sampled: Endpoints in the random sample. With one idle engine in
+            five, a sample of this size has enough idle ones for a long prompt.
+        short: Engines to compare for a short prompt. It goes to a decoding
+            engine with room if there is one; idle engines are equivalent.
+        long: Engines to compare for a long prompt, which is prefilled on idle
+            engines if there are enough.
     """
 
     sampled: int = 96
@@ -63,76 +62,86 @@
     now: float,
     avoid: set[str],
     rng: random.Random,
-    most: int = DEFAULT_LIMITS.sampled,
+    limit: int = DEFAULT_LIMITS.sampled,
 ) -> list[KnownEndpoint]:
-    """Return up to `most` endpoints in random order, usable ones if any is.
+    """Return up to `limit` endpoints in random order.
 
-    Not usable are those that rest, and those in `avoid`, which this request
-    has been sent to already.
+    Ejected endpoints and those in `avoid`, to which the request was already
+    sent, are left out unless no other endpoint is in the sample.
     """
-    sampled = rng.sample(known, min(most, len(known)))
-    rested = [one for one in sampled if one.ejected_until <= now] or sampled
-    return [one for one in rested if one.name not in avoid] or rested
+    sampled = rng.sample(known, min(limit, len(known)))
+    usable = [
+        endpoint for endpoint in sampled if endpoint.ejected_until <= now
+    ] or sampled
+    return [
+        endpoint for endpoint in usable if endpoint.name not in avoid
+    ] or usable
 
 
 def select_candidates(
     sampled: list[KnownEndpoint],
     index: loadindex.LoadIndex,
-    places: CandidateCounts,
+    counts: CandidateCounts,
     zone: str,
     slots: int,
 ) -> list[KnownEndpoint]:
-    """Return the engines to compare, of each kind as many as it has places.
+    """Return the engines to compare, up to the count of each kind.
 
-    Half of the places are kept for engines of the own availability zone, as
-    bytes between zones are dear. Places that a kind does not fill go to the
-    others. `slots` is the size of a batch.
+    Half of each count is reserved for engines of `zone`, as traffic between
+    availability zones is expensive. Counts that a kind does not fill go to the
+    other kinds. `slots` is the size of a batch.
     """
-    if len(sampled) <= places.total:
+    if len(sampled) <= counts.total:
         return sampled
     kinds: tuple[
         list[KnownEndpoint], list[KnownEndpoint], list[KnownEndpoint]
     ] = ([], [], [])
-    for one in sort_by_queue(sampled, index, slots):
-        load = index.at(one.name)
-        kinds[2 if load.is_reading else 1 if load.works else 0].append(one)
-    limits = (places.idle, places.decoding, places.prefilling)
-    picked, left = [], []
-    for found, limit in zip(kinds, limits, strict=True):
-        chosen = balance_zones(found, limit, zone)
-        names = {one.name for one in chosen}
+    for endpoint in sort_by_queue(sampled, index, slots):
+        load = index.at(endpoint.name)
+        kinds[2 if load.is_prefilling else 1 if load.works else 0].append(
+            endpoint
+        )
+    limits = (counts.idle, counts.decoding, counts.prefilling)
+    picked, unpicked = [], []
+    for candidates, limit in zip(kinds, limits, strict=True):
+        chosen = balance_zones(candidates, limit, zone)
+        names = {endpoint.name for endpoint in chosen}
         picked += chosen
-        left += [one for one in found if one.name not in names]
-    return picked + left[: places.total - len(picked)]
+        unpicked += [
+            endpoint for endpoint in candidates if endpoint.name not in names
+        ]
+    return picked + unpicked[: counts.total - len(picked)]
 
 
 def sort_by_queue(
     sampled: Iterable[KnownEndpoint], index: loadindex.LoadIndex, slots: int
 ) -> list[KnownEndpoint]:
-    """Return endpoints by how much work is over their batch.
+    """Return endpoints sorted by the number of requests over their batch.
 
-    What is late already is served after others and does not count.
-    Those with room stay in their order: taking the least busy of them would
-    spread short prompts over engines that long ones could be read on.
+    Late requests do not count, as they are served after others. Endpoints with
+    room keep their order: sorting them by load would spread short prompts over
+    engines that long prompts could be prefilled on.
     """
 
-    def queue(one: KnownEndpoint) -> int:
-        late = len(index.late.get(one.name, ()))
-        return max(0, len(index.at(one.name).works) - late + 1 - slots)
+    def queue(endpoint: KnownEndpoint) -> int:
+        late = len(index.late.get(endpoint.name, ()))
+        return max(0, len(index.at(endpoint.name).works) - late + 1 - slots)
 
     return sorted(sampled, key=queue)
 
 
 def balance_zones(
-    found: list[KnownEndpoint], limit: int, zone: str
+    candidates: list[KnownEndpoint], limit: int, zone: str
 ) -> list[KnownEndpoint]:
-    """Return up to `limit` endpoints, half of them from the zone if it can."""
-    near = [one for one in found if is_in_zone(one, zone)]
-    far = [one for one in found if not is_in_zone(one, zone)]
+    """Return up to `limit` endpoints, half of them in the zone if possible."""
+    near = [endpoint for endpoint in candidates if is_in_zone(endpoint, zone)]
+    far = [
+        endpoint for endpoint in candidates if not is_in_zone(endpoint, zone)
+    ]
     kept = min(len(near), max(limit // 2, limit - len(far)))
     return near[:kept] + far[: limit - kept]
 
 
-def is_in_zone(one: KnownEndpoint, zone: str) -> bool:
+def is_in_zone(endpoint: KnownEndpoint, zone: str) -> bool:
     """Return whether an endpoint is in a zone."""
-    return one.announcement.availability_zone == zone
+    return endpoint.announcement.availability_zone == zone
--- a/src/_coltsfootroad/core/crashes.py
+++ b/src/_coltsfootroad/core/crashes.py
@@ -7,7 +7,7 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointKey:
-    """One start of an endpoint, which crashes once at most."""
+    """One incarnation of an endpoint, which crashes at most once."""
 
     endpoint: str
     incarnation: int
@@ -18,9 +18,9 @@
     """A request in flight at an endpoint when it crashed.
 
     Attributes:
-        fingerprint: Its content.
-        sent_at: When it was sent there, in seconds of the observer's clock.
-        has_output: Whether a part of its answer had come from there.
+        fingerprint: Fingerprint of its content.
+        sent_at: Time of the send, in seconds of the observer's clock.
+        has_output: Whether the endpoint had begun to answer it.
     """
 
     fingerprint: fingerprints.Fingerprint
@@ -30,12 +30,13 @@
 
 @attrs.frozen(kw_only=True)
 class Crash:
-    """What one observer saw of a crash.
+    """A crash as one observer saw it.
 
     Attributes:
-        endpoint: The start that crashed.
-        at: When its connections broke, in seconds of the observer's clock.
-        suspects: The observer's own requests that were in flight there.
+        endpoint: The incarnation that crashed.
+        at: Time at which its connections broke, in seconds of the observer's
+            clock.
+        suspects: The observer's requests that were in flight at the endpoint.
     """
 
     endpoint: EndpointKey
--- a/src/_coltsfootroad/core/crashledger.py
+++ b/src/_coltsfootroad/core/crashledger.py
@@ -1,4 +1,4 @@
-"""Attributes crashes of endpoints to requests that were in flight at them."""
+"""Finds the requests that crash endpoints, among those in flight there."""
 
 from collections.abc import Collection
 
@@ -8,24 +8,24 @@
 from _coltsfootroad.core import crashrecord
 from _coltsfootroad.core import fingerprints
 
-# Endpoints that a request has to crash, one after the other, to be convicted.
+# Endpoints that a request has to crash in sequence to be a culprit.
 MIN_CRASHES = 3
-# The same where convicted requests were in flight at some of them. A client's
-# attempts and our retries of them take a bystander to fewer endpoints.
+# The same if culprits were in flight at some of the crashes. The attempts of a
+# client and our retries take an uninvolved request to fewer endpoints.
 MIN_CRASHES_WITH_CULPRITS = 5
-# The same where other suspects were in flight at each of them. An observer may
-# miss one crash in as many.
+# The same if other suspects were in flight at each of the crashes. An observer
+# may miss one crash in this many.
 MIN_CRASHES_AMBIGUOUS = 7
-# Crashes whose other suspects have all been answered that decide a contest.
+# Crashes whose other suspects have all been answered that resolve an ambiguity.
 MIN_SHARED_CRASHES = 2
-# The same whatever else was in flight.
+# Crashes that make a culprit whatever else was in flight.
 CONCLUSIVE_CRASHES = 8
-# A request that runs well has been answered this long after the crash.
+# A harmless request has been answered this long after a crash.
 ANSWER_DELAY_S = 0.3
-# Weight of crashes of a request that had begun to answer at one of them: most
-# poison requests end an endpoint before that.
+# Weight of the crashes of a request that had produced output at one of them:
+# most poison requests crash an endpoint before that.
 OUTPUT_WEIGHT = 0.5
-# Crashes after which all gateways watch for answers to a suspect.
+# Crashes after which all gateways report answers to a suspect.
 CRASHES_TO_WATCH = 2
 MAX_WATCHED = 64
 
@@ -35,8 +35,8 @@
     """A request that is held responsible for crashes.
 
     Attributes:
-        fingerprint: Its content.
-        endpoints: The starts that crashed with it in flight.
+        fingerprint: Fingerprint of its content.
+        endpoints: Incarnations that crashed with it in flight.
     """
 
     fingerprint: fingerprints.Fingerprint
@@ -45,24 +45,24 @@
 
 @attrs.define
 class CrashLedger(crashrecord.CrashRecord):
-    """Convicts suspects by the crashes that observers report.
+    """Finds culprits from the crashes that observers report.
 
-    A suspect is convicted once several endpoints in a row crashed with it in
+    A suspect is a culprit once several endpoints in sequence crashed with it in
     flight: it was sent to each after the one before had crashed, and no request
-    with the same content was answered meanwhile. Endpoints that crash together,
-    as those of a rack do, count once. Where a convicted request was in flight
-    as well, or another suspect at each of the crashes, more crashes are needed,
-    and none convicts if a convicted request was in flight at every one. Until
-    all observers have reported a crash, any suspect of several others counts as
-    in flight.
+    with the same content was answered meanwhile. Endpoints that crash at the
+    same time, as those of one rack, count once. More crashes are needed if
+    another culprit was in flight too, or another suspect at each of them. A
+    suspect is no culprit if another culprit was in flight at every crash. Until
+    all observers have reported a crash, every suspect of several other crashes
+    counts as in flight.
     """
 
     def watched(
         self, culprits: Collection[fingerprints.Fingerprint]
     ) -> list[fingerprints.Fingerprint]:
-        """Return the suspects whose answers gateways are to report.
+        """Return the suspects whose answers all gateways should report.
 
-        A popular request is answered at gateways that never saw it crash.
+        A popular request is also answered at gateways that saw no crash of it.
         """
         found = [
             fingerprint
@@ -72,7 +72,7 @@
         return found[-MAX_WATCHED:]
 
     def has_new_evidence(self, earlier: float, now: float) -> bool:
-        """Return whether the newest crash proves more than at a time before."""
+        """Return whether the newest crash is stronger evidence than earlier."""
         newest = next(reversed(self.known.values()), None)
         return newest is not None and any(
             earlier < newest.reported_at + wait_s <= now
@@ -80,17 +80,17 @@
         )
 
     def find_culprits(
-        self, culprits: Collection[fingerprints.Fingerprint], now: float
+        self, known_culprits: Collection[fingerprints.Fingerprint], now: float
     ) -> list[Culprit]:
-        """Return the suspects to convict beside those that are already."""
-        known = set(culprits)
+        """Return the culprits that are not in `known_culprits` yet."""
+        known = set(known_culprits)
         found = []
-        while (guilty := self.next_culprit(known, now)) is not None:
-            known.add(guilty)
+        while (culprit := self.next_culprit(known, now)) is not None:
+            known.add(culprit)
             found.append(
                 Culprit(
-                    fingerprint=guilty,
-                    endpoints=tuple(self.suspected[guilty]),
+                    fingerprint=culprit,
+                    endpoints=tuple(self.suspected[culprit]),
                 )
             )
         return found
@@ -98,14 +98,14 @@
     def next_culprit(
         self, culprits: set[fingerprints.Fingerprint], now: float
     ) -> fingerprints.Fingerprint | None:
-        """Return the suspect to convict next, None if there is none."""
-        frequent = [
+        """Return the next culprit, None if there is none."""
+        candidates = [
             fingerprint
             for fingerprint, held in self.suspected.items()
             if len(held) >= MIN_CRASHES and fingerprint not in culprits
         ]
-        frequent.sort(key=lambda f: len(self.suspected[f]), reverse=True)
-        for fingerprint in frequent:
+        candidates.sort(key=lambda f: len(self.suspected[f]), reverse=True)
+        for fingerprint in candidates:
             if self.is_culprit(fingerprint, culprits, now):
                 return fingerprint
         return None
@@ -122,12 +122,12 @@
         if not unexplained:
             return False
         count = self.longest_sequence(fingerprint, unexplained)
-        in_all = self.longest_sequence(fingerprint, held)
-        if count >= MIN_CRASHES_AMBIGUOUS or in_all >= CONCLUSIVE_CRASHES:
+        total = self.longest_sequence(fingerprint, held)
+        if count >= MIN_CRASHES_AMBIGUOUS or total >= CONCLUSIVE_CRASHES:
             return True
         if self.is_ambiguous(fingerprint, unexplained, now):
             return False
-        return count >= MIN_CRASHES or in_all >= MIN_CRASHES_WITH_CULPRITS
+        return count >= MIN_CRASHES or total >= MIN_CRASHES_WITH_CULPRITS
 
     def unexplained(
         self,
@@ -135,9 +135,10 @@
         culprits: set[fingerprints.Fingerprint],
         now: float,
     ) -> set[crashes.EndpointKey]:
-        """Return the crashes at which no convicted request was in flight.
+        """Return the crashes at which no culprit was in flight.
 
-        Where one was at others, it may yet be reported for the newest.
+        If a culprit was in flight at others, only completely reported crashes
+        are returned: it may still be reported for the newest one.
         """
         found = {
             endpoint
@@ -156,50 +157,52 @@
     ) -> bool:
         """Return whether others may have caused nearly all of the crashes.
 
-        A popular request that nobody answers meanwhile is in flight at all
-        crashes of requests that take turns, and a bystander's retries follow a
-        poison request from endpoint to endpoint.
+        A popular request that is not answered meanwhile is in flight at all
+        crashes of requests that alternate, and the retries of an uninvolved
+        request follow a poison request from endpoint to endpoint.
         """
         known = [self.known[endpoint] for endpoint in endpoints]
-        is_repeated = any(
+        is_any_repeated = any(
             len(self.suspected[other]) > 1
             for crash in known
             for other in crash.suspects
             if other != fingerprint
         )
-        alone = [
+        unshared = [
             crash
             for crash in known
             if len(crash.suspects) == 1
-            and (crash.is_complete(now) or not is_repeated)
+            and (crash.is_complete(now) or not is_any_repeated)
         ]
-        if self.is_conclusive(alone, len(known)):
+        if self.is_conclusive(unshared, len(known)):
             return False
         newest_at = max(crash.reported_at for crash in known)
-        return is_repeated or now < newest_at + ANSWER_DELAY_S
+        return is_any_repeated or now < newest_at + ANSWER_DELAY_S
 
     @staticmethod
-    def is_conclusive(alone: list[crashrecord.KnownCrash], count: int) -> bool:
-        """Return whether crashes without other suspects prove enough.
+    def is_conclusive(
+        unshared: list[crashrecord.KnownCrash], count: int
+    ) -> bool:
+        """Return whether crashes without other suspects suffice as evidence.
 
-        Where the other suspects of a single one have been answered since, the
-        request that caused it may not have been reported.
+        A single crash whose other suspects have all been answered does not:
+        the request that caused it may not have been reported.
         """
-        if len(alone) * MIN_CRASHES_AMBIGUOUS < count:
+        if len(unshared) * MIN_CRASHES_AMBIGUOUS < count:
             return False
-        if any(not crash.was_shared for crash in alone):
+        if any(not crash.was_shared for crash in unshared):
             return True
-        return len(alone) >= min(count, MIN_SHARED_CRASHES)
+        return len(unshared) >= min(count, MIN_SHARED_CRASHES)
 
     def longest_sequence(
         self,
         fingerprint: fingerprints.Fingerprint,
         endpoints: Collection[crashes.EndpointKey],
     ) -> float:
-        """Return how many of some crashes follow each other at most.
+        """Return the weighted length of the longest sequence of crashes.
 
-        A crash follows another one if the suspect was sent after that one.
-        They count for less if the suspect had begun to answer at any crash.
+        A crash continues a sequence if the suspect was sent after the crash
+        before. The weight is lower if the suspect had output at any crash.
         """
         held = sorted((self.known[e] for e in endpoints), key=crash_time)
         count = 0
@@ -212,7 +215,7 @@
         return count * (OUTPUT_WEIGHT if self.has_output(fingerprint) else 1.0)
 
     def has_output(self, fingerprint: fingerprints.Fingerprint) -> bool:
-        """Return whether a suspect had begun to answer at any crash."""
+        """Return whether a suspect had produced output at any crash."""
         return any(
             self.known[endpoint].suspects[fingerprint].has_output
             for endpoint in self.suspected[fingerprint]
@@ -220,5 +223,5 @@
 
 
 def crash_time(crash: crashrecord.KnownCrash) -> float:
-    """Return when a crash was seen first."""
+    """Return the time at which a crash was first seen."""
     return crash.at
--- a/src/_coltsfootroad/core/crashrecord.py
+++ b/src/_coltsfootroad/core/crashrecord.py
@@ -1,38 +1,38 @@
-"""Keeps what all observers together report of crashes of endpoints."""
+"""Merges the reports of all observers of endpoint crashes."""
 
 import attrs
 
 from _coltsfootroad.core import crashes
 from _coltsfootroad.core import fingerprints
 
-# All observers of a crash have reported it within this time of the first one.
+# All observers of a crash report it within this time of the first report.
 REPORT_DELAY_S = 0.05
-# A send this shortly before an earlier crash counts as one after it, as clocks
-# are compared over messages that take some time.
+# A send up to this long before a crash counts as sent after it, as clocks are
+# compared over messages with some delay.
 CLOCK_SLACK_S = 0.03
-# Crashes older than this prove nothing any more.
+# Older crashes are no evidence.
 EVIDENCE_WINDOW_S = 600.0
 MAX_CRASHES = 1_024
-# Above the slots of an engine and the connections of a plain endpoint that are
-# busy at once.
+# Above the batch slots of an engine and the busy connections of a plain
+# endpoint.
 MAX_SUSPECTS = 512
 MAX_CLEARED = 4_096
-# An endpoint may crash this long after a send to it was stopped, as the request
-# runs on there.
+# A stopped send counts as in flight at a crash up to this long afterwards, as
+# the endpoint may still run the request.
 STOPPED_SEND_WINDOW_S = 2.0
-# A send that met a start which its gateway did not know yet was in flight at a
-# crash of the same endpoint this soon after it.
-UNKNOWN_START_WINDOW_S = 5.0
+# A send to an incarnation that its gateway did not know yet counts as in flight
+# at a crash of the same endpoint up to this long afterwards.
+UNKNOWN_INCARNATION_WINDOW_S = 5.0
 
 
 @attrs.define
 class KnownCrash:
-    """A crash as all observers together saw it.
+    """A crash as merged from the reports of all observers.
 
     Attributes:
-        at: When the first observer saw it.
-        reported_at: When its first report came.
-        suspects: The requests that were in flight, by fingerprint.
+        at: Time at which the first observer saw it.
+        reported_at: Time of the first report.
+        suspects: Requests that were in flight, by fingerprint.
         was_shared: Whether a request that was in flight has been cleared.
     """
 
@@ -44,21 +44,22 @@
     was_shared: bool = False
 
     def is_complete(self, now: float) -> bool:
-        """Return whether all observers have had the time to report it."""
+        """Return whether all observers have had time to report it."""
         return now >= self.reported_at + REPORT_DELAY_S
 
 
 @attrs.define
 class CrashRecord:
-    """Crashes by start of an endpoint, with the requests in flight at them.
+    """Crashes by incarnation, with the requests that were in flight.
 
     Attributes:
-        known: The crashes, oldest first.
-        suspected: The crashes of each suspect.
-        cleared: When suspects were answered last.
-        stopped: When an entry last stopped sends to an endpoint, and which.
-        misplaced: Suspects by endpoint that were sent after the crash that they
-            were reported under, to a start that their gateway did not know.
+        known: Crashes, oldest report first.
+        suspected: Crashes by suspect.
+        cleared: Time of the last answer, by suspect.
+        stopped: Sends that gateways stopped, by incarnation.
+        unknown_incarnation_sends: Suspects by endpoint that were sent after the
+            crash with which they were reported, to an incarnation that their
+            gateway did not know.
     """
 
     known: dict[crashes.EndpointKey, KnownCrash] = attrs.Factory(dict)
@@ -67,12 +68,12 @@
     )
     cleared: dict[fingerprints.Fingerprint, float] = attrs.Factory(dict)
     stopped: dict[crashes.EndpointKey, KnownCrash] = attrs.Factory(dict)
-    unknown_start_sends: dict[
+    unknown_incarnation_sends: dict[
         str, dict[fingerprints.Fingerprint, crashes.Suspect]
     ] = attrs.Factory(dict)
 
     def record(self, crash: crashes.Crash, now: float) -> None:
-        """Take one observer's report; the same again changes nothing."""
+        """Merge the report of one observer; idempotent."""
         self.expire(now)
         if now - crash.at > EVIDENCE_WINDOW_S:
             return
@@ -82,19 +83,19 @@
         found.at = min(found.at, crash.at)
         for suspect in crash.suspects:
             if suspect.sent_at > crash.at + CLOCK_SLACK_S:
-                self.note_unknown_start(crash.endpoint, suspect)
+                self.record_unknown_incarnation(crash.endpoint, suspect)
             else:
-                self.suspect(crash.endpoint, found, suspect)
+                self.add_suspect(crash.endpoint, found, suspect)
         self.add_stopped(crash.endpoint)
-        self.add_unknown_start_sends(crash.endpoint)
+        self.add_unknown_incarnation(crash.endpoint)
         while len(self.known) > MAX_CRASHES:
             self.forget(next(iter(self.known)))
 
-    def note_stopped(self, stop: crashes.Crash) -> None:
-        """Note sends that an entry stopped, which may have been carried out.
+    def record_stopped(self, stop: crashes.Crash) -> None:
+        """Record stopped sends, which the endpoint may still run.
 
-        An endpoint that crashes soon afterwards did so under them, though no
-        connection of theirs was lost.
+        If the endpoint crashes soon afterwards, they may have caused it, though
+        the crash broke no connection of theirs.
         """
         held = self.stopped.pop(stop.endpoint, None) or KnownCrash(stop.at)
         held.at = max(held.at, stop.at)
@@ -106,7 +107,7 @@
         self.add_stopped(stop.endpoint)
 
     def add_stopped(self, endpoint: crashes.EndpointKey) -> None:
-        """Count stopped sends among those in flight at a crash."""
+        """Add stopped sends to the requests in flight at a crash."""
         crash, stop = self.known.get(endpoint), self.stopped.get(endpoint)
         if (
             crash is None
@@ -115,38 +116,40 @@
         ):
             return
         for suspect in stop.suspects.values():
-            self.suspect(endpoint, crash, suspect)
+            self.add_suspect(endpoint, crash, suspect)
 
-    def note_unknown_start(
+    def record_unknown_incarnation(
         self, endpoint: crashes.EndpointKey, suspect: crashes.Suspect
     ) -> None:
-        """Note a send to a start after the one that it was reported under."""
-        held = self.unknown_start_sends.setdefault(endpoint.endpoint, {})
+        """Record a send to a later incarnation than the reported one."""
+        held = self.unknown_incarnation_sends.setdefault(endpoint.endpoint, {})
         if len(held) < MAX_SUSPECTS:
             held[suspect.fingerprint] = suspect
-        while len(self.unknown_start_sends) > MAX_CRASHES:
-            del self.unknown_start_sends[next(iter(self.unknown_start_sends))]
+        while len(self.unknown_incarnation_sends) > MAX_CRASHES:
+            del self.unknown_incarnation_sends[
+                next(iter(self.unknown_incarnation_sends))
+            ]
         for known in list(self.known):
             if known.endpoint == endpoint.endpoint:
-                self.add_unknown_start_sends(known)
+                self.add_unknown_incarnation(known)
 
-    def add_unknown_start_sends(self, endpoint: crashes.EndpointKey) -> None:
-        """Count sends to a start that gateways did not know at its crash."""
+    def add_unknown_incarnation(self, endpoint: crashes.EndpointKey) -> None:
+        """Add sends to an unknown incarnation to those in flight at a crash."""
         crash = self.known[endpoint]
-        for suspect in self.unknown_start_sends.get(
+        for suspect in self.unknown_incarnation_sends.get(
             endpoint.endpoint, {}
         ).values():
             in_flight_s = crash.at - suspect.sent_at
-            if -CLOCK_SLACK_S <= in_flight_s <= UNKNOWN_START_WINDOW_S:
-                self.suspect(endpoint, crash, suspect)
+            if -CLOCK_SLACK_S <= in_flight_s <= UNKNOWN_INCARNATION_WINDOW_S:
+                self.add_suspect(endpoint, crash, suspect)
 
-    def suspect(
+    def add_suspect(
         self,
         endpoint: crashes.EndpointKey,
         crash: KnownCrash,
         suspect: crashes.Suspect,
     ) -> None:
-        """Note a request that was in flight at a crash."""
+        """Add a request that was in flight at a crash."""
         fingerprint = suspect.fingerprint
         cleared_at = self.cleared.get(fingerprint)
         if cleared_at is not None and suspect.sent_at <= cleared_at:
@@ -158,7 +161,7 @@
         self.suspected.setdefault(fingerprint, set()).add(endpoint)
 
     def clear(self, fingerprint: fingerprints.Fingerprint, now: float) -> None:
-        """Drop all evidence against a request that was answered whole."""
+        """Drop all evidence against a request that was answered completely."""
         for endpoint in self.suspected.pop(fingerprint, ()):
             crash = self.known[endpoint]
             del crash.suspects[fingerprint]
@@ -169,7 +172,7 @@
             del self.cleared[next(iter(self.cleared))]
 
     def expire(self, now: float) -> None:
-        """Drop crashes that are too old, the oldest reports first."""
+        """Drop crashes beyond the evidence window, the oldest reports first."""
         while self.known:
             oldest = next(iter(self.known))
             if now - self.known[oldest].at <= EVIDENCE_WINDOW_S:
@@ -188,7 +191,7 @@
 def merge_suspects(
     known: crashes.Suspect | None, suspect: crashes.Suspect
 ) -> crashes.Suspect:
-    """Return what two sends of a request to one endpoint say together."""
+    """Merge two sends of a request to one endpoint."""
     if known is None:
         return suspect
     return attrs.evolve(
--- a/src/_coltsfootroad/core/dispatcher.py
+++ b/src/_coltsfootroad/core/dispatcher.py
@@ -163,7 +163,7 @@
         if meter.may_start(now):
             return True
         if not meter.has_lease(now):
-            self.core.syncing.request_early_sync(now)
+            self.core.syncing.request_heartbeat(now)
         return False
 
     def choose(
--- a/src/_coltsfootroad/core/endpoints.py
+++ b/src/_coltsfootroad/core/endpoints.py
@@ -1,4 +1,4 @@
-"""What an entry believes of each endpoint: backlog, memory, own work."""
+"""An entry's estimate of each endpoint: backlog, memory and own work."""
 
 import collections
 import enum
@@ -11,22 +11,25 @@
 
 WorkKey = tuple[str, int]
 
-# Tokens of a longer prompt that an engine finishes before it turns to a
-# more urgent one; the engines' chunk size is not stated, this is a guess
-# that only has to rank engines.
+# Tokens of a longer prompt that an engine prefills before it switches to a more
+# urgent one. Engines do not state their chunk size; this guess only has to rank
+# them.
 STALL_TOKENS = 4_096
-# Dispatches of others that are remembered per entry, and how long one is
-# believed that no report confirms: its entry may have died before sending.
+# Dispatches that are kept for each other entry.
 MAX_FOREIGN_WORK = 256
+# A dispatch of another entry that no report confirms is dropped after this
+# time, as that entry may have died before it sent the request.
 FOREIGN_WORK_TTL_S = 4.0
 
 
 @attrs.frozen(kw_only=True)
 class HeldWork:
-    """Memory that an engine says it holds for a request.
+    """KV cache that an engine reports to hold for a request.
 
-    `owner` is the entry and its incarnation that sent the request;
-    `expires_in_s` the time left until the request's deadline.
+    Attributes:
+        owner: Entry that sent the request, with its incarnation.
+        kv_tokens: Tokens of KV cache.
+        expires_in_s: Seconds until the request's deadline.
     """
 
     request_id: str
@@ -38,18 +41,19 @@
 
 @attrs.frozen(kw_only=True)
 class LoadReport:
-    """An endpoint's load, some time ago.
+    """An endpoint's load at a past time.
 
     Attributes:
-        endpoint: Who reports.
-        incarnation: Of the endpoint.
-        seq: Grows with every report of an incarnation.
-        measured_at: Seconds on the receiving entry's clock, at the earliest.
-        prefill_tokens: Waiting prompt tokens per engine priority.
+        endpoint: Name of the reporting endpoint.
+        incarnation: Incarnation of the endpoint.
+        seq: Increases with every report of an incarnation.
+        measured_at: Earliest possible time of measurement, in seconds of the
+            receiving entry's clock.
+        prefill_tokens: Pending prompt tokens per engine priority.
         kv_used: Tokens of KV cache in use.
         running: Requests being served.
-        marks: Last dispatch number seen, per entry.
-        held: Memory held for requests, of whichever entry.
+        marks: Highest dispatch number seen, per entry.
+        held: KV cache held for requests of all entries.
     """
 
     endpoint: str
@@ -65,7 +69,7 @@
 
 @attrs.frozen
 class ForeignWork:
-    """A dispatch of another entry that no report may contain yet."""
+    """A dispatch of another entry that reports may not contain yet."""
 
     mark: int
     band: int
@@ -75,7 +79,7 @@
 
 
 class WorkState(enum.Enum):
-    """Where a piece of own work stands."""
+    """State of an own work item."""
 
     ACTIVE = "active"
     RELEASING = "releasing"
@@ -102,10 +106,10 @@
 class EndpointView:
     """One entry's view of one endpoint.
 
-    `backlog` estimates the waiting prompt tokens per band: the last report,
-    plus own dispatches that the report does not contain yet (settled by
-    dispatch marks, so that nothing counts twice), drained at the learned
-    rate since.
+    `backlog` estimates the pending prompt tokens per band: those of the last
+    report plus own dispatches that the report does not contain, drained at the
+    observed prefill rate since. Dispatch marks tell which dispatches a report
+    contains, so that none counts twice.
     """
 
     announcement: registry.Announcement
@@ -138,23 +142,23 @@
 
     @property
     def kv_free(self) -> int:
-        """Return the tokens of KV cache that are believed free."""
+        """Return the estimated free tokens of the KV cache."""
         used = self.kv_used + self.kv_unreported + self.kv_group_held
         return self.announcement.kv_tokens - used
 
     @property
     def active_count(self) -> int:
-        """Return the number of own requests that the endpoint serves."""
+        """Return the number of own requests at the endpoint."""
         return len(self.work)
 
     def has_active_work(self) -> bool:
-        """Return whether own requests are still being served."""
+        """Return whether own requests are in flight."""
         return any(
             work.state is WorkState.ACTIVE for work in self.work.values()
         )
 
     def advance(self, now: float) -> None:
-        """Drain the backlog, most urgent band first, up to `now`."""
+        """Drain the backlog up to `now`, the most urgent band first."""
         budget = (now - self.backlog_at) * self.speed.prefill_rate
         self.backlog_at = max(self.backlog_at, now)
         for band in range(lengths.BAND_COUNT):
@@ -165,26 +169,26 @@
             budget -= drained
 
     def ahead(self, band: int) -> float:
-        """Return the prompt tokens served before a new one of `band`."""
+        """Return the prompt tokens to prefill before a new prompt of `band`."""
         tokens = sum(self.backlog[: band + 1])
         if self.has_longer_prompts(band):
             tokens += STALL_TOKENS
         return tokens
 
     def has_longer_prompts(self, band: int) -> bool:
-        """Return whether prompts of a longer band are being read."""
+        """Return whether prompts of a longer band are pending."""
         return any(tokens > 0 for tokens in self.backlog[band + 1 :])
 
     def is_short_only(self) -> bool:
-        """Return whether nothing but short prompts is being read."""
+        """Return whether all pending prompts are short."""
         return not self.has_longer_prompts(0)
 
     def total_backlog(self) -> float:
-        """Return the waiting prompt tokens of all bands."""
+        """Return the pending prompt tokens of all bands."""
         return sum(self.backlog)
 
     def add_foreign(self, owner: str, work: ForeignWork, now: float) -> None:
-        """Count a dispatch of another entry into the backlog."""
+        """Add a dispatch of another entry to the backlog."""
         self.advance(now)
         queue = self.foreign.setdefault(
             owner, collections.deque(maxlen=MAX_FOREIGN_WORK)
@@ -196,7 +200,7 @@
         self.kv_unreported += work.kv_tokens
 
     def reconcile_foreign(self, report: LoadReport, now: float) -> None:
-        """Drop what a report contains; add the rest to its backlog."""
+        """Drop dispatches that a report contains; add the others to it."""
         for owner, queue in list(self.foreign.items()):
             seen = report.marks.get(owner, 0)
             oldest = now - FOREIGN_WORK_TTL_S
@@ -218,7 +222,7 @@
         kv_tokens: int,
         now: float,
     ) -> OwnWork:
-        """Record a dispatch and count it into the backlog."""
+        """Record a dispatch and add it to the backlog."""
         self.advance(now)
         ahead = self.ahead(band)
         self.last_mark += 1
@@ -238,7 +242,7 @@
         return work
 
     def remove_work(self, key: WorkKey, now: float) -> OwnWork | None:
-        """Forget a piece of work whose memory the engine has freed."""
+        """Remove a work item whose memory the engine has freed."""
         work = self.work.pop(key, None)
         if work is None:
             return None
@@ -248,12 +252,12 @@
             self.kv_used = max(0, self.kv_used - work.kv_tokens)
         if work.first_token_at is None:
             self.advance(now)
-            left = self.backlog[work.band] - work.prompt_tokens
-            self.backlog[work.band] = max(0.0, left)
+            remaining = self.backlog[work.band] - work.prompt_tokens
+            self.backlog[work.band] = max(0.0, remaining)
         return work
 
     def on_first_token(self, key: WorkKey, now: float) -> OwnWork | None:
-        """Learn from the first token of a piece of own work."""
+        """Record the first token of an own work item."""
         work = self.work.get(key)
         if work is None or work.first_token_at is not None:
             return None
@@ -265,7 +269,7 @@
         return work
 
     def on_report(self, report: LoadReport, now: float) -> bool:
-        """Take a load report; return False for an old one."""
+        """Apply a load report; return False if it is outdated."""
         if report.incarnation != self.announcement.incarnation:
             return False
         if report.seq <= self.report_seq:
@@ -292,11 +296,11 @@
     def add_unreported(
         self, work: "OwnWork | ForeignWork", since: float, now: float
     ) -> None:
-        """Add what is left of a dispatch that a report does not contain.
+        """Add the remainder of a dispatch that a report does not contain.
 
-        It is drained from its own beginning. Drained from the report's time
-        like the rest, a dispatch of this moment vanished at once, and short
-        prompts met each other at engines that looked idle.
+        It drains from the time of the dispatch. Draining it from the time of
+        the report removed a fresh dispatch at once, so that short prompts
+        collided on engines that looked idle.
         """
-        read = (now - since) * self.speed.prefill_rate
-        self.backlog[work.band] += max(0.0, work.prompt_tokens - read)
+        prefilled = (now - since) * self.speed.prefill_rate
+        self.backlog[work.band] += max(0.0, work.prompt_tokens - prefilled)
--- a/src/_coltsfootroad/core/endpointset.py
+++ b/src/_coltsfootroad/core/endpointset.py
@@ -1,4 +1,4 @@
-"""The endpoints that a gateway knows, and which of them it avoids."""
+"""The endpoints that a gateway knows, and their ejection after failures."""
 
 import enum
 
@@ -6,22 +6,22 @@
 
 from _coltsfootroad.core import registry
 
-# An endpoint that could not be reached is tried again after this time,
-# doubled with each failure in a row up to the longest.
+# Ejection time after the first failure, doubled with each further consecutive
+# failure.
 FIRST_EJECTION_S = 0.7
 MAX_EJECTION_S = 5.0
-# Answers lost in a row after which an endpoint rests.
+# Consecutive lost answers after which an endpoint is ejected.
 LOSSES_TO_EJECT = 2
-# Gone endpoints that are remembered; a late announcement revives none.
+# Tombstones keep late announcements from reviving endpoints that have ended.
 MAX_TOMBSTONES = 4_096
 
 
-# Stands for the incarnation of a name of which no start has ended.
+# Stands for the incarnation of a name without a tombstone.
 NO_TOMBSTONE = -1
 
 
 class AnnouncementResult(enum.Enum):
-    """What an announcement was to a gateway."""
+    """Effect of an announcement."""
 
     NEW = "new"
     OLD = "old"
@@ -31,16 +31,16 @@
 
 @attrs.define
 class KnownEndpoint:
-    """An endpoint and what the gateway has seen of it.
+    """One incarnation of an endpoint and its recent failures.
 
     Attributes:
-        announcement: The newest word of it.
+        announcement: The newest announcement.
         expired: Whether its lease has ended.
-        failures: Answers lost in a row.
-        rest_until: When it may be used again after failures.
-        pace: How many times slower than stated it works.
-        restarted_at: When a start after the one that was known was heard of;
-            what had been sent until then ended with that one.
+        failures: Consecutive lost answers.
+        ejected_until: End of its ejection.
+        slowdown: Factor by which it is slower than its specification.
+        restarted_at: When this incarnation replaced an earlier one. Requests
+            sent before that ended with the earlier incarnation.
     """
 
     announcement: registry.Announcement
@@ -57,9 +57,9 @@
 
     @property
     def accepts(self) -> bool:
-        """Return whether the endpoint takes new work by its own word."""
-        serving = self.announcement.state is registry.EndpointState.SERVING
-        return serving and not self.expired
+        """Return whether the endpoint announces that it takes new work."""
+        is_serving = self.announcement.state is registry.EndpointState.SERVING
+        return is_serving and not self.expired
 
 
 @attrs.define
@@ -68,14 +68,14 @@
 
     known: dict[str, KnownEndpoint] = attrs.Factory(dict)
     tombstones: dict[str, int] = attrs.Factory(dict)
-    # Those that take new work, by service, until anything changes.
-    serving: dict[str, list[KnownEndpoint]] = attrs.Factory(dict)
+    # Endpoints that take new work, by service; a cache.
+    serving_by_service: dict[str, list[KnownEndpoint]] = attrs.Factory(dict)
 
     def learn(
         self, announcement: registry.Announcement, now: float = 0.0
     ) -> AnnouncementResult:
-        """Take an announcement unless a later start or its end is known."""
-        self.serving.clear()
+        """Apply an announcement unless a newer one or the end is known."""
+        self.serving_by_service.clear()
         name = announcement.endpoint
         incarnation = announcement.incarnation
         if incarnation <= self.tombstones.get(name, NO_TOMBSTONE):
@@ -88,10 +88,12 @@
             self.known[name] = KnownEndpoint(announcement)
             return AnnouncementResult.NEW
         latest = known.announcement.incarnation
-        # One without an incarnation that comes after a silence is a start of
-        # other software; the leader would have refused a late word.
-        unmarked = incarnation == registry.NO_INCARNATION and known.expired
-        if incarnation > latest or (unmarked and incarnation < latest):
+        # An announcement without an incarnation after an expired lease is from
+        # other software; the leader would have refused a late one.
+        is_other_software = (
+            incarnation == registry.NO_INCARNATION and known.expired
+        )
+        if incarnation > latest or (is_other_software and incarnation < latest):
             self.known[name] = KnownEndpoint(announcement, restarted_at=now)
             return AnnouncementResult.RESTARTED
         if incarnation < latest:
@@ -103,36 +105,36 @@
         return AnnouncementResult.NEW
 
     def add_tombstone(self, name: str, incarnation: int) -> None:
-        """Forget an endpoint whose start has ended, unless a later one is."""
-        self.serving.clear()
+        """Record the end of an incarnation and remove it."""
+        self.serving_by_service.clear()
         known = self.known.get(name)
         if known is not None and known.announcement.incarnation <= incarnation:
             del self.known[name]
-        before = self.tombstones.pop(name, NO_TOMBSTONE)
-        self.tombstones[name] = max(before, incarnation)
+        previous = self.tombstones.pop(name, NO_TOMBSTONE)
+        self.tombstones[name] = max(previous, incarnation)
         while len(self.tombstones) > MAX_TOMBSTONES:
             del self.tombstones[next(iter(self.tombstones))]
 
     def is_current(self, endpoint: KnownEndpoint) -> bool:
-        """Return whether an endpoint has not ended or started again since."""
+        """Return whether an incarnation has neither ended nor been replaced."""
         return self.known.get(endpoint.name) is endpoint
 
     def has_restarted(self, endpoint: KnownEndpoint) -> bool:
-        """Return whether a later start of an endpoint has been heard of."""
+        """Return whether a later incarnation of an endpoint is known."""
         known = self.known.get(endpoint.name)
         return known is not None and known is not endpoint
 
     def expire(self, name: str) -> None:
-        """Stop using an endpoint that announces itself no longer."""
-        self.serving.clear()
+        """Stop using an endpoint whose lease has ended."""
+        self.serving_by_service.clear()
         if name in self.known:
             self.known[name].expired = True
 
     def serving_endpoints(self, service: str) -> list[KnownEndpoint]:
-        """Return the endpoints that take new work; not to be changed."""
-        found = self.serving.get(service)
+        """Return the endpoints that take new work; do not modify the list."""
+        found = self.serving_by_service.get(service)
         if found is None:
-            found = self.serving[service] = [
+            found = self.serving_by_service[service] = [
                 known
                 for known in self.known.values()
                 if known.announcement.service == service and known.accepts
@@ -147,11 +149,11 @@
         return known.announcement.service == service
 
     def on_failure(self, name: str, now: float, unreachable: bool) -> float:
-        """Rest an endpoint that failed; return for how long.
+        """Record a failure; return the seconds of ejection, 0 for none.
 
-        One lost answer proves little, and resting for it would take a sound
-        engine from the rest of its callers; one that cannot be reached, or
-        loses two answers in a row, rests.
+        An endpoint is ejected if it is unreachable or loses two consecutive
+        answers. A single lost answer is weak evidence, and an ejection for it
+        would take a healthy engine away from its other callers.
         """
         known = self.known.get(name)
         if known is None:
@@ -166,14 +168,14 @@
         return ejection_s
 
     def on_success(self, name: str) -> None:
-        """Note that an endpoint works."""
+        """Reset the failures of an endpoint."""
         known = self.known.get(name)
         if known is not None:
             known.failures = 0
             known.ejected_until = 0.0
 
     def current_announcements(self) -> tuple[registry.Announcement, ...]:
-        """Return all that a new leader has to learn again."""
+        """Return the announcements and ends that a new leader has to know."""
         alive = tuple(
             known.announcement
             for known in self.known.values()
--- a/src/_coltsfootroad/core/engineplacement.py
+++ b/src/_coltsfootroad/core/engineplacement.py
@@ -1,12 +1,13 @@
-"""Chooses the engines for a prompt: where it is read and where it writes.
+"""Chooses the engines that prefill and decode a prompt.
 
-The pattern it answers: a few prompts that take seconds to read arrive among
-many short ones. A pass in which an engine reads for longer than a stream's
-longest pause makes every stream there late. So long prompts go in parts to
-engines where nobody writes, or in parts so small that the pause holds, and
-short ones gather on few engines so that others stay free for reading.
+A few prompts that take seconds to prefill arrive among many short ones. A
+forward pass whose prefill takes longer than the gap target of a stream makes
+every stream on that engine late. So a long prompt is split over engines that
+decode nothing, or into parts small enough to keep the gap targets. Short
+prompts are packed onto few engines, which keeps others free for prefill.
 
-Each choice is the cheapest by the value that callers lose, own and others'.
+Each choice minimizes the value lost by late answers, of this request and of
+the requests that are already on the engines.
 """
 
 import heapq
@@ -17,47 +18,47 @@
 from _coltsfootroad.core import enginestate
 from _coltsfootroad.core import routes
 
-# Engines besides the first that a prompt may be read on; the engines' limit.
+# Helper engines of one prompt at most; a limit of the engines.
 MAX_HELPERS = 16
-# Numbers of parts that are compared; between them the gain is small.
+# Numbers of parts that are compared. Numbers in between gain little.
 PART_COUNTS = (1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 17)
-# Shorter prompts are never split: a part costs each helper a step, and they
-# are read within one pass beside writers.
+# Shorter prompts are never split: a part costs each helper a step, and a short
+# prompt is prefilled within one pass beside decoding streams.
 MIN_SPLIT_TOKENS = 10_000
-# Share of the aim that the first event may take by prediction before it
-# counts as endangered: parts of prompts that come later are read ahead.
+# Share of the target that the predicted first event may take before a miss
+# counts as possible: parts of later prompts may be prefilled first.
 TARGET_MARGIN = 0.5
-# What opening an idle engine for a short prompt costs, in values of one
-# short request: it takes the engine from the next long prompt.
+# Costs are in units of the value of one short request.
+#
+# Using an idle engine for a short prompt takes it from the next long prompt.
 IDLE_ENGINE_COST = 0.2
-# What each further part costs, in the same unit, so that ties go to fewer.
+# Each part; ties go to fewer parts.
 PART_COST = 0.01
-# What a request over the batch costs: it waits for a whole answer.
+# Each request over the batch, as it waits for a whole answer.
 FULL_BATCH_COST = 3.0
-# What the last place of a batch costs: another gateway may take it in the
-# milliseconds until it hears of this choice, and one of the two then waits for
-# a whole answer.
+# The last slot of a batch: another gateway may use it in the milliseconds until
+# it learns of this choice, and one of the two requests then waits for a whole
+# answer.
 LAST_SLOT_COST = 0.05
-# What one request more that waits there costs, so that those which are late
-# already wait spread over the engines.
+# Each pending request of an engine, which spreads late requests over engines.
 QUEUED_REQUEST_COST = 0.05
-# Tokens kept free at each engine that lends memory to a long prompt, for
-# the short ones that come while it is there.
+# Tokens kept free on each engine that holds a part of a long prompt's KV cache,
+# for short prompts that arrive meanwhile.
 RESERVED_KV_TOKENS = 40_000
-# How long a stream keeps its place in a batch, about.
+# Approximate time for which a stream occupies a batch slot.
 MEAN_STREAM_S = 2.0
-# Tokens of a prompt that are worth as much as one short request.
+# Prompt tokens whose value equals that of one short request.
 TOKENS_PER_VALUE = 10_000
-# What a second of reading that is queued at an engine costs, in values of one
-# short request: whatever comes next there waits as well.
+# Each second of prefill that is queued on an engine, as it delays all requests
+# that follow.
 QUEUED_PREFILL_COST = 6.0
-# What another availability zone costs: a tie-breaker.
+# Another availability zone; only breaks ties.
 CROSS_ZONE_COST = 0.005
 
 
 @attrs.frozen(kw_only=True)
 class Prompt:
-    """What is known of a request before it is placed."""
+    """The properties of a request that its placement depends on."""
 
     prompt_tokens: int
     output_tokens: int
@@ -66,20 +67,24 @@
 
     @property
     def value(self) -> float:
-        """Return what a late answer costs its caller, relative.
+        """Return the relative cost of a late answer to the caller.
 
-        Callers of long prompts have waited longer and resend more; the
-        value of one grows about with its length.
+        It grows with the length of the prompt: callers of long prompts have
+        waited longer and send more again.
         """
         return 1.0 + self.prompt_tokens / TOKENS_PER_VALUE
 
 
 @attrs.frozen(kw_only=True)
 class Placement:
-    """Where a prompt goes: the first engine writes the answer.
-
-    `tickets` are the helpers that hold a part of the prompt's memory, and
-    how many tokens.
+    """The engines of a prompt.
+
+    Attributes:
+        lead: Engine that decodes the answer.
+        helpers: Engines that prefill further parts.
+        tickets: Helpers that hold a part of the KV cache, with their tokens.
+        first_event_s: Predicted time to the first event.
+        cost: Cost in units of the value of one short request.
     """
 
     lead: str
@@ -90,10 +95,10 @@
 
 
 def miss_likelihood(predicted_s: float, target_s: float) -> float:
-    """Return the likelihood that an aim is missed, from 0 to 1.
+    """Return the likelihood, 0 to 1, that an answer misses its target.
 
-    Grows linearly from the margin to the aim, as predictions err, and
-    slowly after it, so that the less late way is still the better one.
+    It grows linearly from the margin to the target, as predictions err, and
+    slowly beyond it, so that the less late of two placements is preferred.
     """
     start = TARGET_MARGIN * target_s
     if predicted_s <= start:
@@ -104,7 +109,7 @@
 
 
 def may_split(prompt: Prompt) -> bool:
-    """Return whether a prompt is long enough to be read in parts."""
+    """Return whether a prompt is long enough to be split."""
     return prompt.prompt_tokens >= MIN_SPLIT_TOKENS
 
 
@@ -113,7 +118,7 @@
     states: list[enginestate.EngineState],
     spec: routes.EngineSpec,
 ) -> Placement | None:
-    """Return the cheapest placement, None when there is no engine."""
+    """Return the cheapest placement, None if there is none."""
     best: Placement | None = None
     for parts in PART_COUNTS:
         if parts > min(len(states), MAX_HELPERS + 1):
@@ -132,33 +137,33 @@
     spec: routes.EngineSpec,
     parts: int,
 ) -> Placement | None:
-    """Return the cheapest placement in so many parts."""
+    """Return the cheapest placement in `parts` parts, None if there is none."""
     part_s = enginemodel.prefill_s(spec, prompt.prompt_tokens, parts)
-    reading = [prefill_cost(state, part_s) for state in states]
-    leading = [
+    prefill_costs = [prefill_cost(state, part_s) for state in states]
+    lead_costs = [
         cost + decode_cost(prompt, state, spec, part_s)
-        for state, cost in zip(states, reading, strict=True)
+        for state, cost in zip(states, prefill_costs, strict=True)
     ]
-    first = min(range(len(states)), key=leading.__getitem__)
-    helper_parts = heapq.nsmallest(
+    first = min(range(len(states)), key=lead_costs.__getitem__)
+    helpers = heapq.nsmallest(
         parts - 1,
         (
             place
             for place, state in enumerate(states)
             if place != first and state.helper_parts < spec.slots
         ),
-        key=reading.__getitem__,
+        key=prefill_costs.__getitem__,
     )
-    if len(helper_parts) < parts - 1:
+    if len(helpers) < parts - 1:
         return None
     lead = states[first]
-    others = [states[place] for place in helper_parts]
+    others = [states[place] for place in helpers]
     tickets = allocate_memory(prompt, lead, others, spec)
     if tickets is None:
         return None
     chosen = [lead, *others]
     first_event_s = max(predict_first_event_s(s, spec, part_s) for s in chosen)
-    cost = leading[first] + sum(reading[place] for place in helper_parts)
+    cost = lead_costs[first] + sum(prefill_costs[place] for place in helpers)
     cost += prompt.value * miss_likelihood(first_event_s, prompt.target_s)
     return Placement(
         lead=lead.endpoint,
@@ -175,10 +180,10 @@
     others: list[enginestate.EngineState],
     spec: routes.EngineSpec,
 ) -> tuple[tuple[str, int], ...] | None:
-    """Return which helpers hold what the first engine cannot.
+    """Return the helpers, with tokens, that hold what `lead` cannot.
 
-    None if they do not hold all of it; nothing if the first engine can, as
-    its memory is what it would have to make free by itself.
+    Returns None if they cannot hold all of it. Returns an empty tuple if the
+    whole KV cache fits into `lead`, which frees its own memory by itself.
     """
     needed = prompt.prompt_tokens + prompt.output_tokens
     if needed <= spec.kv_tokens - RESERVED_KV_TOKENS:
@@ -198,10 +203,10 @@
 def predict_first_event_s(
     state: enginestate.EngineState, spec: routes.EngineSpec, part_s: float
 ) -> float:
-    """Return when an engine has read its part and a pass has gone by.
+    """Return the seconds until an engine has prefilled its part and one pass.
 
-    Over the batch, a request first waits until others have ended: with
-    streams of some seconds, one ends each `STREAM_S` divided by the batch.
+    A request over the batch first waits for others to end: one stream ends in
+    each `MEAN_STREAM_S` divided by the slots of the batch.
     """
     queued = max(0, state.requests_ahead + 1 - spec.slots)
     wait_s = queued * MEAN_STREAM_S / spec.slots
@@ -210,7 +215,7 @@
 
 
 def prefill_cost(state: enginestate.EngineState, part_s: float) -> float:
-    """Return what reading a part costs the streams of an engine."""
+    """Return the cost of prefilling a part on an engine."""
     cost = state.value_lost_by(state.slowdown * part_s) + PART_COST
     cost += 0.0 if state.in_gateway_zone else CROSS_ZONE_COST
     return cost + QUEUED_PREFILL_COST * state.prefill_left_s
@@ -222,7 +227,7 @@
     spec: routes.EngineSpec,
     part_s: float,
 ) -> float:
-    """Return what writing the answer costs, besides reading a part."""
+    """Return the cost of decoding the answer on an engine."""
     seconds = predict_first_event_s(state, spec, part_s)
     cost = prompt.value * miss_likelihood(seconds, prompt.target_s)
     if state.gap_s + state.prefill_left_s > prompt.gap_target_s > 0:
--- a/src/_coltsfootroad/core/enginestate.py
+++ b/src/_coltsfootroad/core/enginestate.py
@@ -1,4 +1,4 @@
-"""What an engine is believed to do, from the work that it was sent."""
+"""Estimates the state of an engine from the work that was sent to it."""
 
 from collections.abc import Iterable
 
@@ -8,44 +8,46 @@
 from _coltsfootroad.core import routes
 from _coltsfootroad.core import work as work_lib
 
-# Share of the longest pause that a pass may take by prediction.
+# Share of a gap target that a predicted pass may take.
 GAP_MARGIN = 0.85
 NEVER = float("-inf")
 
 
 @attrs.frozen
 class ProtectedStream:
-    """A stream that is on time so far, and what a long pause would cost."""
+    """A stream that is on time, and the value of keeping it so."""
 
     gap_target_s: float
     value: float
 
 
 def value_lost(protected: list[ProtectedStream], gap_s: float) -> float:
-    """Return what is lost by a pause."""
-    return sum(stake.value for stake in protected if stake.gap_target_s < gap_s)
+    """Return the value of the streams whose gap target a gap exceeds."""
+    return sum(
+        stream.value for stream in protected if stream.gap_target_s < gap_s
+    )
 
 
 @attrs.define
 class EngineState:
-    """What an engine is believed to do now.
+    """The estimated state of an engine.
 
     Attributes:
-        endpoint: Its name.
-        near: Whether it is in the gateway's availability zone.
-        pace: How many times slower than stated it works.
-        writers: Streams that it writes.
-        free_at: When it will have read all that it was sent.
-        reading_s: Seconds of reading that are left.
-        running: Requests that it batches or that wait there.
-        ahead: Those of them that a request which can be on time waits for.
-        helping: Parts that it reads for other engines.
-        kv_used: Tokens that those requests fill at most.
-        pause_s: Seconds of a pass without any reading.
-        bare_stakes: What its streams lose by pauses longer than that.
-        stakes: Those of them that the reading which is left does not harm.
-        coming: Requests whose answers it will write once they are read.
-        coming_stakes: What those lose by long pauses.
+        endpoint: Name of the engine.
+        in_gateway_zone: Whether it is in the gateway's availability zone.
+        slowdown: Factor by which it is slower than its specification.
+        decoding: Streams that it decodes.
+        prefill_done_at: Time at which its pending prefill ends.
+        prefill_left_s: Seconds of pending prefill.
+        running: Requests that it batches or queues.
+        requests_ahead: Requests that precede a new one that is not late.
+        helper_parts: Parts that it prefills for other engines.
+        kv_used: KV cache tokens that all its work needs at most.
+        gap_s: Seconds of a pass without prefill.
+        on_time: Streams whose gap target is at least `gap_s`.
+        protected: Streams of those that the pending prefill leaves on time.
+        prefilling: Requests that it will decode after their prefill.
+        prefilling_protected: Requests of those that have a gap target.
     """
 
     endpoint: str
@@ -65,14 +67,13 @@
     prefilling_protected: list[ProtectedStream] = attrs.Factory(list)
 
     def update_gaps(self, spec: routes.EngineSpec) -> None:
-        """Work out the pauses that its streams have without further work.
+        """Compute the gaps of its streams without further work.
 
-        Done once for each change of its work, as each of the many comparisons
-        of a choice asks.
+        Done once per change of its work, as a choice compares many states.
         """
         context = sum(work.prompt_tokens for work in self.decoding)
-        bare_s = enginemodel.pass_s(spec, len(self.decoding), context)
-        self.gap_s = self.slowdown * bare_s
+        pass_s = enginemodel.pass_s(spec, len(self.decoding), context)
+        self.gap_s = self.slowdown * pass_s
         self.on_time = [
             ProtectedStream(work.gap_target_s, work.value)
             for work in self.decoding
@@ -85,28 +86,32 @@
         ]
 
     def advance_to(self, now: float) -> None:
-        """Note what is left to be read at a time."""
+        """Update the pending prefill to a time."""
         self.prefill_left_s = max(0.0, self.prefill_done_at - now)
         self.protected = self.on_time
         if self.prefill_left_s:
             gap_s = self.gap_s + self.prefill_left_s
             self.protected = [
-                stake for stake in self.on_time if stake.gap_target_s >= gap_s
+                stream
+                for stream in self.on_time
+                if stream.gap_target_s >= gap_s
             ]
 
     def value_lost_by(self, extra_s: float) -> float:
-        """Return the value that streams lose by `extra_s` more reading.
+        """Return the value that streams lose by `extra_s` of further prefill.
 
-        What is read already when a stream begins does not hold it up, so
-        those that are still to come meet only what is added now.
+        Prefill that ends before a stream begins does not delay it, so only the
+        added prefill affects the streams that are still to begin.
         """
         lost = 0.0
         if self.protected:
-            after = (self.gap_s + self.prefill_left_s + extra_s) / GAP_MARGIN
-            lost += value_lost(self.protected, after)
+            longest_gap_s = (
+                self.gap_s + self.prefill_left_s + extra_s
+            ) / GAP_MARGIN
+            lost += value_lost(self.protected, longest_gap_s)
         if self.prefilling_protected:
-            after = (self.gap_s + extra_s) / GAP_MARGIN
-            lost += value_lost(self.prefilling_protected, after)
+            longest_gap_s = (self.gap_s + extra_s) / GAP_MARGIN
+            lost += value_lost(self.prefilling_protected, longest_gap_s)
         return lost
 
 
@@ -140,18 +145,18 @@
     spec: routes.EngineSpec,
     slowdown: float = 1.0,
 ) -> float:
-    """Return when an engine will have read what it was sent.
+    """Return the time at which an engine ends its pending prefill.
 
-    It reads one part after the other, so each begins when the one before
-    it has ended. Counted as if all began when they were sent, a few long
-    ones at one engine looked read while most of them still waited.
+    An engine prefills one part after the other. Counting each from the time at
+    which it was sent made several long prompts on one engine look done while
+    most of them were still queued.
     """
-    found = NEVER
-    unread = [work for work in works if not work.writing]
-    for work in sorted(unread, key=lambda w: w.sent_at):
+    done_at = NEVER
+    pending = [work for work in works if not work.writing]
+    for work in sorted(pending, key=lambda w: w.sent_at):
         whole = enginemodel.prefill_s(spec, work.prompt_tokens, work.parts)
-        found = max(found, work.sent_at) + slowdown * whole
-    return found
+        done_at = max(done_at, work.sent_at) + slowdown * whole
+    return done_at
 
 
 def remaining_prefill_s(
@@ -160,5 +165,5 @@
     now: float,
     slowdown: float = 1.0,
 ) -> float:
-    """Return for how long an engine will still read what it was sent."""
+    """Return the seconds of pending prefill of an engine."""
     return max(0.0, prefill_done_at(works, spec, slowdown) - now)
--- a/src/_coltsfootroad/core/enginestatecache.py
+++ b/src/_coltsfootroad/core/enginestatecache.py
@@ -1,4 +1,4 @@
-"""The states of engines, each worked out again only when its work changes."""
+"""Caches the states of engines until their work changes."""
 
 import attrs
 
@@ -8,18 +8,18 @@
 from _coltsfootroad.core import routes
 from _coltsfootroad.core import work as work_lib
 
-# States that are kept; beyond it those of engines that are gone go as well.
+# The whole cache is cleared at this size, which drops engines that have ended.
 MAX_CACHED_STATES = 4_096
 
 
 @attrs.define
 class CachedState:
-    """A state and what it was worked out from.
+    """A state and the inputs from which it was computed.
 
     Attributes:
-        endpoint: The start of the engine; a later one is another object.
+        endpoint: Incarnation of the engine; a later one is another object.
         version: Version of its work.
-        spec: How such engines work.
+        spec: Timing of such engines.
         state: The state.
     """
 
@@ -31,12 +31,12 @@
 
 @attrs.define
 class EngineStateCache:
-    """Keeps the states of engines for the next choice.
+    """Computes the states of engines and caches them between choices.
 
     Attributes:
-        index: The work at each engine.
+        index: Work on each engine.
         availability_zone: Zone of the gateway.
-        kept: States by the engines' names.
+        cached: States by engine name.
     """
 
     index: loadindex.LoadIndex
@@ -49,7 +49,7 @@
         spec: routes.EngineSpec,
         now: float,
     ) -> enginestate.EngineState:
-        """Return what an engine does at a time."""
+        """Return the state of an engine at a time."""
         version = self.index.at(endpoint.name).version
         cached = self.cached.get(endpoint.name)
         if cached is None or not (
@@ -69,7 +69,7 @@
         spec: routes.EngineSpec,
         now: float,
     ) -> CachedState:
-        """Work out a state anew."""
+        """Compute a state and cache it."""
         if len(self.cached) >= MAX_CACHED_STATES:
             self.cached.clear()
         state = enginestate.engine_state(
@@ -87,10 +87,10 @@
     def current_work(
         self, endpoint: endpointset.KnownEndpoint
     ) -> list[work_lib.Work]:
-        """Return the work that an endpoint was sent since it began.
+        """Return the work that was sent to an endpoint since its last restart.
 
-        Other gateways may hear of a restart later and still tell of work at
-        the earlier start.
+        Other gateways may learn of the restart later and still report work of
+        the earlier incarnation.
         """
         return [
             work
--- a/src/_coltsfootroad/core/fingerprints.py
+++ b/src/_coltsfootroad/core/fingerprints.py
@@ -1,23 +1,23 @@
-"""Identifies a request by its content, whoever sends it and however often."""
+"""Identifies requests by content, independent of sender and attempt."""
 
 import hashlib
 
 import attrs
 
-# Second preimages stay out of reach; collisions help a caller against nobody
-# but its own workspace, as fingerprints of two workspaces are never equal.
+# Long enough against second preimages. A caller who finds a collision can harm
+# only its own workspace, as fingerprints of two workspaces are never equal.
 DIGEST_BYTES = 16
 LENGTH_BYTES = 8
 
 
 @attrs.frozen(kw_only=True)
 class Fingerprint:
-    """The content of a request, small enough to be shared between processes.
+    """Identity of a request's content, small enough to send to other processes.
 
     Attributes:
-        workspace: Holder of the caller's key, empty on public routes.
-        body_bytes: Length of the body. Requests of other lengths need no
-            digest to be told apart.
+        workspace: Workspace of the caller's key, empty on public routes.
+        body_bytes: Length of the body. Requests with different lengths differ
+            without a digest.
         digest: Digest of method, host, target and body.
     """
 
@@ -27,14 +27,14 @@
 
     @property
     def text(self) -> str:
-        """Return the digest as operators and logs write it."""
+        """Return the digest in the notation of logs and operator commands."""
         return self.digest.hex()
 
 
 def compute(
     method: str, host: str, target: str, workspace: str, body: bytes
 ) -> Fingerprint:
-    """Return the fingerprint of a request; takes time by the body's length."""
+    """Return the fingerprint of a request, in time linear in the body."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method.encode(), host.lower().encode(), target.encode()):
         digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
--- a/src/_coltsfootroad/core/freshness.py
+++ b/src/_coltsfootroad/core/freshness.py
@@ -1,4 +1,4 @@
-"""Whether an entry may still believe its configuration to be current."""
+"""Decides whether an entry's configuration counts as current."""
 
 import attrs
 
@@ -11,10 +11,10 @@
 class Freshness:
     """An entry's configuration and the proof that it is current.
 
-    A heartbeat that the leader answered proves that the version was current
-    when the heartbeat was *sent*. Past the bound the entry fences itself:
-    it cannot tell its own isolation from a loss of the quorum, and serving
-    on could revert a limit or a right that operators took away.
+    An answered heartbeat proves that the version was current when the heartbeat
+    was *sent*. Past the staleness bound the entry fences itself: it cannot
+    distinguish its own isolation from a loss of the quorum, and further service
+    could ignore a limit or a revocation by operators.
     """
 
     version: int = -1
@@ -25,26 +25,26 @@
 
     @property
     def members(self) -> tuple[addresses.Member, ...]:
-        """Return the live entries as last heard."""
+        """Return the live entries as last reported."""
         return tuple(self.member_view.known.values())
 
-    def confirm(self, asked_at: float) -> None:
-        """Note that the version was current at `asked_at`."""
-        self.confirmed_at = max(self.confirmed_at, asked_at)
+    def confirm(self, requested_at: float) -> None:
+        """Record that the version was current at `requested_at`."""
+        self.confirmed_at = max(self.confirmed_at, requested_at)
 
     def is_current(self, now: float) -> bool:
-        """Return whether the proof is young enough to admit requests."""
+        """Return whether the proof is fresh enough to admit requests."""
         bound = self.config.fleet.staleness_bound_s
         return self.version >= 0 and now - self.confirmed_at < bound
 
     def stale_at(self) -> float:
-        """Return when the present proof ends."""
+        """Return the time at which the present proof expires."""
         return self.confirmed_at + self.config.fleet.staleness_bound_s
 
     def adopt(
         self, version: int, document: dict, config: config_lib.Config
     ) -> bool:
-        """Put a newer version in force; never an older one."""
+        """Put a version in force if it is newer than the present one."""
         if version <= self.version:
             return False
         self.version = version
--- a/src/_coltsfootroad/core/grouping.py
+++ b/src/_coltsfootroad/core/grouping.py
@@ -1,4 +1,4 @@
-"""Places prompts above one engine's memory on several engines."""
+"""Plans groups of engines for prompts that exceed one engine's memory."""
 
 import math
 
@@ -11,35 +11,38 @@
 from _coltsfootroad.core import servicekind
 
 MAX_GROUP = 8
-# Part of an engine's memory that a group may ask for.
+# Share of an engine's KV cache that a group may reserve.
 USABLE_SHARE = 0.95
 GROUP_LEASE_S = 10.0
 
 
 @attrs.frozen(kw_only=True)
 class GroupPlan:
-    """Parts of a prompt, leader first, and the predicted first token."""
+    """The parts of a prompt and the predicted time to first token.
+
+    The first part is the one of the engine that generates the output.
+    """
 
     parts: tuple[actions.Part, ...]
     predicted_s: float
 
     @property
     def engines(self) -> dict[str, int]:
-        """Return the tokens of memory to reserve on each engine."""
+        """Return the KV cache tokens to reserve on each engine."""
         return {p.endpoint: p.kv_tokens for p in self.parts}
 
 
 def needs_group(
     request: request_lib.Request, pool: pool_lib.ServicePool
 ) -> bool:
-    """Return whether no single engine can ever hold a request."""
+    """Return whether a request exceeds the memory of every engine."""
     if request.kind is servicekind.ServiceKind.PLAIN:
         return False
     return request.cost_tokens > pool.largest_kv
 
 
 def group_capacity(pool: pool_lib.ServicePool) -> int:
-    """Return the most tokens that one group of engines can hold."""
+    """Return the number of tokens that the largest possible group holds."""
     sizes = sorted(
         (v.announcement.kv_tokens for v in pool.views.values() if v.accepts),
         reverse=True,
@@ -56,8 +59,8 @@
 ) -> GroupPlan | None:
     """Return the smallest group that can hold a request, least busy first.
 
-    Engines that read long prompts already come first where the wait is the
-    same, which leaves the clean ones to short prompts.
+    Of engines with the same wait, mixed ones are preferred, which leaves the
+    short-only ones to short prompts.
     """
     views = [
         v
@@ -66,33 +69,33 @@
     ]
     views.sort(key=lambda v: engine_order(v, band, pool))
     views = put_reserved_last(views, pool, now)
-    return smallest_group(request, band, views, now=True) or smallest_group(
-        request, band, views, now=False
-    )
+    return smallest_group(
+        request, band, views, free_now=True
+    ) or smallest_group(request, band, views, free_now=False)
 
 
 def smallest_group(
     request: request_lib.Request,
     band: int,
     views: list[endpoints.EndpointView],
-    now: bool,
+    free_now: bool,
 ) -> GroupPlan | None:
-    """Return the smallest group whose engines have room, now or ever.
+    """Return the smallest group whose engines have room, now or when empty.
 
-    Engines with room now come first: a group that is chosen by its short
-    queues alone waits until other prompts have been answered in full.
+    Callers try engines with room now first: a group that is chosen only by the
+    lengths of its queues waits until other prompts have been answered in full.
     """
     for count in range(2, min(MAX_GROUP, len(views)) + 1):
         per_engine = math.ceil(request.cost_tokens / count)
-        roomy = [v for v in views if has_room(v, per_engine, now)]
+        roomy = [v for v in views if has_room(v, per_engine, free_now)]
         if len(roomy) >= count:
             return make_plan(request, band, roomy[:count], per_engine)
     return None
 
 
-def has_room(view: endpoints.EndpointView, tokens: int, now: bool) -> bool:
+def has_room(view: endpoints.EndpointView, tokens: int, free_now: bool) -> bool:
     """Return whether an engine has room for a part, now or when empty."""
-    if now:
+    if free_now:
         return view.kv_free >= tokens
     return view.announcement.kv_tokens * USABLE_SHARE >= tokens
 
@@ -102,15 +105,17 @@
     pool: pool_lib.ServicePool,
     now: float,
 ) -> list[endpoints.EndpointView]:
-    """Put the clean engines that short prompts need at the end."""
-    kept = set(list(pool.short_only.names)[-max(1, pool.short_headroom(now)) :])
-    return sorted(views, key=lambda v: v.name in kept)
+    """Move the short-only engines that short prompts need to the end."""
+    reserved = set(
+        list(pool.short_only.names)[-max(1, pool.short_headroom(now)) :]
+    )
+    return sorted(views, key=lambda v: v.name in reserved)
 
 
 def engine_order(
     view: endpoints.EndpointView, band: int, pool: pool_lib.ServicePool
 ) -> tuple:
-    """Return how an engine sorts for a group."""
+    """Return the sort key of an engine: wait, kind, shared rank."""
     waiting_s = view.speed.prefill_s(view.ahead(band))
     rank = pool_lib.fleet_rank(pool.service, view.name)
     return (round(waiting_s, 1), view.is_short_only(), rank)
@@ -122,7 +127,7 @@
     views: list[endpoints.EndpointView],
     per_engine: int,
 ) -> GroupPlan:
-    """Return an even split over the given engines."""
+    """Return a plan that splits a request evenly over engines."""
     tokens = math.ceil(request.prompt_tokens / len(views))
     parts = tuple(
         actions.Part(
--- a/src/_coltsfootroad/core/hosts.py
+++ b/src/_coltsfootroad/core/hosts.py
@@ -101,7 +101,7 @@
     """Talks to the leader."""
 
     @abc.abstractmethod
-    def request_early_sync(self, now: float) -> None:
+    def request_heartbeat(self, now: float) -> None:
         """Ask for a heartbeat before its time."""
 
 
--- a/src/_coltsfootroad/core/isolation.py
+++ b/src/_coltsfootroad/core/isolation.py
@@ -1,10 +1,10 @@
-"""Sends requests that are suspected of crashes to separate endpoints.
+"""Isolates requests that are suspected of crashes on separate endpoints.
 
 Shuffle sharding: while several requests are suspects of the same crashes, each
-endpoint takes at most one of them, chosen by rendezvous hashing of endpoint and
-fingerprint. A crash then tells which of them caused it, and the others are
-answered meanwhile. Gateways agree without asking each other, and a suspect more
-or an endpoint less moves few of the others.
+endpoint accepts at most one of them, chosen by rendezvous hashing of endpoint
+and fingerprint. A crash then identifies the request that caused it, and the
+others are answered meanwhile. Gateways agree without coordination, and a
+change of one suspect or endpoint reassigns few others.
 """
 
 from collections.abc import Collection
@@ -17,33 +17,34 @@
 from _coltsfootroad.core import hashing
 
 KnownEndpoint = endpointset.KnownEndpoint
-# Of fewer nobody has to be told apart.
+# A single suspect needs no isolation.
 MIN_SUSPECTS = 2
-# With a smaller share of the endpoints in use suspects wait for their own.
+# With a smaller share of the endpoints alive, a suspect waits for one that is
+# assigned to it.
 MIN_ALIVE_SHARE = 0.5
 
 
 @attrs.define
 class Isolation:
-    """Which suspect each endpoint takes.
+    """Assigns suspects to endpoints.
 
     Attributes:
-        suspects: The suspects, cleared ones left out.
-        owners: The suspect of each endpoint that was looked at, by start.
+        suspects: The suspects that have not been cleared.
+        assignments: Cached suspect of each endpoint, by incarnation key.
     """
 
     suspects: tuple[fingerprints.Fingerprint, ...] = ()
     assignments: dict[str, fingerprints.Fingerprint] = attrs.Factory(dict)
 
     def update(self, suspects: Collection[fingerprints.Fingerprint]) -> None:
-        """Take the suspects that there are now."""
+        """Set the current suspects."""
         found = tuple(suspects)
         if found != self.suspects:
             self.suspects = found
             self.assignments.clear()
 
     def is_isolated(self, fingerprint: fingerprints.Fingerprint) -> bool:
-        """Return whether a request is kept apart from others."""
+        """Return whether a request is isolated from other suspects."""
         is_suspect = fingerprint in self.suspects
         return is_suspect and len(self.suspects) >= MIN_SUSPECTS
 
@@ -54,10 +55,10 @@
         avoid: set[str],
         now: float,
     ) -> Sequence[KnownEndpoint]:
-        """Return the endpoints that a suspect may be sent to, maybe none.
+        """Return the endpoints that a suspect may be sent to, possibly none.
 
-        While most endpoints are down, suspects would all meet at those that
-        come back; each then waits for an endpoint that takes it.
+        While most endpoints are down, all suspects would be sent to the few
+        that return. Each suspect then waits for an endpoint of its own.
         """
         alive = [e for e in known if e.ejected_until <= now]
         if len(alive) < len(known) * MIN_ALIVE_SHARE:
@@ -71,7 +72,7 @@
         fingerprint: fingerprints.Fingerprint,
         among: Sequence[KnownEndpoint],
     ) -> Sequence[KnownEndpoint]:
-        """Return the endpoints that take a suspect, one at least if any is."""
+        """Return the endpoints assigned to a suspect, one at least if any."""
         own = [e for e in among if self.assigned_suspect(e) == fingerprint]
         if own or not among:
             return own
@@ -80,7 +81,7 @@
     def assigned_suspect(
         self, endpoint: KnownEndpoint
     ) -> fingerprints.Fingerprint:
-        """Return the suspect that a start of an endpoint takes."""
+        """Return the suspect assigned to an incarnation of an endpoint."""
         key = incarnation_key(endpoint)
         if key not in self.assignments:
             self.assignments[key] = max(
@@ -90,15 +91,16 @@
 
 
 def incarnation_key(endpoint: KnownEndpoint) -> str:
-    """Return what names a start of an endpoint."""
+    """Return a key that identifies an incarnation of an endpoint."""
     return f"{endpoint.name}#{endpoint.announcement.incarnation}"
 
 
 def score(
     endpoint: KnownEndpoint, fingerprint: fingerprints.Fingerprint
 ) -> int:
-    """Return how strongly an endpoint attracts a suspect.
+    """Return the rendezvous score of a suspect on an endpoint.
 
-    Each start draws anew, so that no suspect has to wait for one endpoint.
+    It depends on the incarnation: each restart reassigns the endpoint, so that
+    no suspect depends on one endpoint.
     """
     return hashing.stable_hash(incarnation_key(endpoint), fingerprint.text)
--- a/src/_coltsfootroad/core/loadindex.py
+++ b/src/_coltsfootroad/core/loadindex.py
@@ -1,15 +1,15 @@
-"""Work by endpoint, kept up with each change.
+"""Index of the work by endpoint, updated with each change.
 
-The pattern it answers: hundreds of gateways tell of thousands of pieces of
-work, and each choice asks about some endpoints only. Nothing here is gone
-through whole for a choice, so its cost does not grow with the fleet.
+Hundreds of gateways report thousands of work items, and each choice reads
+a few endpoints only. A choice never iterates over the whole index, so its cost
+does not grow with the fleet.
 """
 
 import attrs
 
 from _coltsfootroad.core import work as work_lib
 
-# Gateway, empty for this one, and the key that it gave to the work.
+# Gateway, empty for this one, and the key that it assigned to the work.
 WorkKey = tuple[str, int]
 
 
@@ -18,39 +18,42 @@
     """The work at one endpoint.
 
     Attributes:
-        works: All of it.
-        version: Grows with each change, so that users may keep what they work
-            out from the works.
-        unread: Pieces whose first event has not come.
-        counted: The version at which `unread` was counted.
+        works: Work by key.
+        version: Increases with each change, so that results computed from the
+            work can be cached.
+        prefilling: Work items without a first event.
+        counted_version: Version at which `prefilling` was counted.
     """
 
     works: dict[WorkKey, work_lib.Work] = attrs.Factory(dict)
     version: int = 0
-    unread: int = 0
-    counted: int = -1
+    prefilling: int = 0
+    counted_version: int = -1
 
     @property
-    def is_reading(self) -> bool:
-        """Return whether anything there has not brought its first event."""
-        if self.counted != self.version:
-            self.counted = self.version
-            self.unread = sum(not work.writing for work in self.works.values())
-        return self.unread > 0
+    def is_prefilling(self) -> bool:
+        """Return whether any work has not produced its first event."""
+        if self.counted_version != self.version:
+            self.counted_version = self.version
+            self.prefilling = sum(
+                not work.writing for work in self.works.values()
+            )
+        return self.prefilling > 0
 
 
-NOTHING = EndpointLoad()
+NO_LOAD = EndpointLoad()
 
 
 @attrs.define
 class LoadIndex:
-    """All work by endpoint; endpoints without work are not in it.
+    """Work by endpoint; endpoints without work are absent.
 
     Attributes:
         loads: The work at each endpoint.
-        late: Pieces that wait although they are late, by endpoint.
-        last_version: The newest version of any endpoint's work. An endpoint
-            that had work again does not repeat a version.
+        late: Keys of late work that is queued, by endpoint.
+        last_version: The newest version of all endpoints' work. A shared
+            counter, so that an endpoint that has work again after it had none
+            does not repeat a version.
     """
 
     loads: dict[str, EndpointLoad] = attrs.Factory(dict)
@@ -58,38 +61,38 @@
     last_version: int = 0
 
     def at(self, endpoint: str) -> EndpointLoad:
-        """Return the work at an endpoint; not to be changed by the caller."""
-        return self.loads.get(endpoint, NOTHING)
+        """Return the work at an endpoint; callers must not modify it."""
+        return self.loads.get(endpoint, NO_LOAD)
 
     def put(self, key: WorkKey, work: work_lib.Work) -> None:
-        """Add a piece of work, or note that it has changed."""
+        """Add or update a work item."""
         load = self.loads.get(work.endpoint)
         if load is None:
             load = self.loads[work.endpoint] = EndpointLoad()
         load.works[key] = work
-        self.note_change(load)
+        self.bump_version(load)
         if work.waits_late:
             self.late.setdefault(work.endpoint, set()).add(key)
         else:
-            self.drop_late(key, work.endpoint)
+            self.remove_late(key, work.endpoint)
 
     def drop(self, key: WorkKey, work: work_lib.Work) -> None:
-        """Take a piece of work out."""
+        """Remove a work item."""
         load = self.loads.get(work.endpoint)
         if load is None or load.works.pop(key, None) is None:
             return
-        self.note_change(load)
-        self.drop_late(key, work.endpoint)
+        self.bump_version(load)
+        self.remove_late(key, work.endpoint)
         if not load.works:
             del self.loads[work.endpoint]
 
-    def note_change(self, load: EndpointLoad) -> None:
-        """Give an endpoint's work the next version."""
+    def bump_version(self, load: EndpointLoad) -> None:
+        """Assign the next version to an endpoint's work."""
         self.last_version += 1
         load.version = self.last_version
 
-    def drop_late(self, key: WorkKey, endpoint: str) -> None:
-        """Note that a piece of work does not wait late, or no longer."""
+    def remove_late(self, key: WorkKey, endpoint: str) -> None:
+        """Remove a work item from the late ones, if present."""
         late = self.late.get(endpoint)
         if late is None:
             return
--- a/src/_coltsfootroad/core/members.py
+++ b/src/_coltsfootroad/core/members.py
@@ -1,12 +1,12 @@
-"""The live entries or gateways, as the leader tells of them."""
+"""The live entries or gateways, as reported by the leader."""
 
 import attrs
 
 from _coltsfootroad.core import addresses
 
-# A new leader hears of each member with that one's next question, 1.2 s
-# later at the most; its first list is nearly empty. Members that the leader
-# before knew stay for somewhat longer than that.
+# A new leader learns of each member with that member's next request, at most
+# 1.2 s later, so its first list is nearly empty. Members of the previous leader
+# are kept for somewhat longer than that.
 CARRY_OVER_S = 1.6
 UNKNOWN_AGE_S = float("inf")
 
@@ -16,10 +16,10 @@
     """The members by name, kept over a change of leader.
 
     Attributes:
-        known: The members that count as alive.
-        carried: Names that only a former leader has told of.
-        changes: Number of changes so far, so that users may keep what they
-            work out from the members.
+        known: Members that count as alive.
+        carried_over: Names that only a previous leader has reported.
+        changes: Number of changes, so that results computed from the members
+            can be cached.
     """
 
     known: dict[str, addresses.Member] = attrs.Factory(dict)
@@ -33,20 +33,21 @@
         from_new_leader: bool,
         leader_age_s: float = UNKNOWN_AGE_S,
     ) -> None:
-        """Take changes, or `anew` all that a new leader has heard so far.
+        """Apply changes.
 
-        `leader_age_s` says for how long that leader has been listening.
+        With `from_new_leader`, `changed` holds all members that a new leader
+        knows so far. `leader_age_s` is the time for which it has led.
         """
         if from_new_leader:
             self.carried_over = set(self.known)
         self.carried_over -= {member.entry for member in changed}
-        gone = set(lost)
+        removed = set(lost)
         if leader_age_s >= CARRY_OVER_S:
-            gone |= self.carried_over
-        self.carried_over -= gone
-        for name in gone:
+            removed |= self.carried_over
+        self.carried_over -= removed
+        for name in removed:
             self.known.pop(name, None)
         for member in changed:
             self.known[member.entry] = member
-        if from_new_leader or changed or gone:
+        if from_new_leader or changed or removed:
             self.changes += 1
--- a/src/_coltsfootroad/core/outliers.py
+++ b/src/_coltsfootroad/core/outliers.py
@@ -1,4 +1,4 @@
-"""Ejects endpoints that fail or answer slowly, up to a floor."""
+"""Ejects endpoints that fail or answer slowly, up to a share of them."""
 
 import attrs
 
@@ -12,13 +12,13 @@
 SLOW_SAMPLES = 5
 SLOW_START_S = 10.0
 SMOOTHING = 0.3
-# Successes between two computations of the median.
+# Successes per computation of the median.
 MEDIAN_EVERY = 16
 
 
 @attrs.define
 class Health:
-    """Recent conduct of one endpoint."""
+    """Recent failures and latency of one endpoint."""
 
     failures: int = 0
     slowness: float = 1.0
@@ -32,10 +32,10 @@
 
 @attrs.define
 class OutlierDetector:
-    """Keeps the endpoints of one service that should get no new work.
+    """Tracks the endpoints of one service that should get no new work.
 
-    At most `MAX_EJECTED_SHARE` are out at once: ejecting more moves their
-    load to the rest, which then look slow as well.
+    At most `MAX_EJECTED_SHARE` of them are ejected at once: ejecting more moves
+    their load to the others, which then look slow as well.
     """
 
     health: dict[str, Health] = attrs.Factory(dict)
@@ -45,7 +45,7 @@
     def on_success(
         self, endpoint: str, actual_s: float, predicted_s: float, now: float
     ) -> None:
-        """Record a first token and compare it with the prediction."""
+        """Record a time to first token and compare it with the prediction."""
         health = self.health.setdefault(endpoint, Health())
         health.failures = 0
         health.refusals = 0
@@ -57,19 +57,19 @@
             self.eject(endpoint, now)
 
     def on_refused(self, endpoint: str, now: float) -> None:
-        """Rest an endpoint that refuses connections.
+        """Back off from an endpoint that refuses connections.
 
-        Nobody listens there, so resting it costs no capacity and the floor
-        on ejections does not hold it back. Without this, the retries of a
-        request were spent on the one dead engine that looked idle.
+        No process listens there, so the backoff costs no capacity, and the
+        limit on ejections does not apply. Without it, a request spent all its
+        retries on one dead engine that looked idle.
         """
         health = self.health.setdefault(endpoint, Health())
         health.refusals += 1
-        pause = min(
+        pause_s = min(
             MAX_REFUSED_BACKOFF_S,
             REFUSED_BACKOFF_S * 2 ** (health.refusals - 1),
         )
-        health.backoff_until = now + pause
+        health.backoff_until = now + pause_s
 
     def on_failure(self, endpoint: str, now: float) -> None:
         """Record a failed attempt."""
@@ -79,7 +79,10 @@
             self.eject(endpoint, now)
 
     def median_slowness(self) -> float:
-        """Return the median slowness, so that a slow fleet ejects nobody."""
+        """Return the median slowness, 1 at least.
+
+        Comparing with the median ejects no endpoint if the whole fleet is slow.
+        """
         self.since_median += 1
         if self.since_median >= MEDIAN_EVERY:
             self.since_median = 0
@@ -88,16 +91,18 @@
         return self.median
 
     def eject(self, endpoint: str, now: float) -> bool:
-        """Eject an endpoint unless too many are out already."""
+        """Eject an endpoint unless too many are ejected already."""
         health = self.health.setdefault(endpoint, Health())
         if now < health.ejected_until:
             return False
-        out = sum(1 for h in self.health.values() if now < h.ejected_until)
-        if out + 1 > MAX_EJECTED_SHARE * len(self.health):
+        ejected_count = sum(
+            1 for h in self.health.values() if now < h.ejected_until
+        )
+        if ejected_count + 1 > MAX_EJECTED_SHARE * len(self.health):
             return False
         health.ejections += 1
-        pause = min(MAX_EJECT_S, EJECT_S * 2 ** (health.ejections - 1))
-        health.ejected_until = now + pause
+        pause_s = min(MAX_EJECT_S, EJECT_S * 2 ** (health.ejections - 1))
+        health.ejected_until = now + pause_s
         health.returned_at = health.ejected_until
         health.failures = 0
         health.samples = 0
@@ -105,14 +110,14 @@
         return True
 
     def is_ejected(self, endpoint: str, now: float) -> bool:
-        """Return whether an endpoint is out now."""
+        """Return whether an endpoint is ejected or backed off."""
         health = self.health.get(endpoint)
         if health is None:
             return False
         return now < max(health.ejected_until, health.backoff_until)
 
     def slow_start_factor(self, endpoint: str, now: float) -> float:
-        """Return a cost factor of at least 1 that fades after a return."""
+        """Return a cost factor, 1 at least, that decays after an ejection."""
         health = self.health.get(endpoint)
         if health is None or now - health.returned_at >= SLOW_START_S:
             return 1.0
@@ -120,6 +125,6 @@
         return 1.0 / max(progress, 0.1)
 
     def retain(self, endpoints: set[str]) -> None:
-        """Forget endpoints that are no longer known."""
-        for gone in set(self.health) - endpoints:
-            del self.health[gone]
+        """Drop the state of all endpoints but the given ones."""
+        for removed in set(self.health) - endpoints:
+            del self.health[removed]
--- a/src/_coltsfootroad/core/policies.py
+++ b/src/_coltsfootroad/core/policies.py
@@ -1,4 +1,4 @@
-"""Routing policies: which endpoint takes a request, and when to wait."""
+"""Routing policies: choose an endpoint for a request or keep it queued."""
 
 import abc
 from collections.abc import Callable
@@ -12,18 +12,19 @@
 from _coltsfootroad.core import request as request_lib
 from _coltsfootroad.core import servicekind
 
-# Endpoints compared per choice; the cost of a choice does not grow with
-# the fleet.
+# Endpoints compared per choice. A fixed number keeps the cost of a choice
+# independent of the size of the fleet.
 SAMPLE_SIZE = 8
-# Prompt seconds ahead of a request beyond which it waits at the entry, where
-# the order can still change. Above the report lag, or engines would idle.
+# A request with more prefill seconds than this ahead of it stays queued at the
+# entry, where it can still be reordered. The limit has to exceed the delay of
+# load reports, or engines would run idle.
 MAX_AHEAD_S = 4.0
-# Clean engines that a long prompt may choose from.
+# Short-only engines that are compared for a long prompt.
 LONG_PROMPT_CHOICES = 2
-# Clean engines looked at for room.
+# Engines checked for free memory, per choice.
 MAX_SCANNED = 32
-# Price, in reading times of its own, of a long prompt on a clean engine that
-# short ones need.
+# Cost of sending a long prompt to a short-only engine that short prompts need,
+# as a multiple of the prompt's own prefill time.
 SHORT_ONLY_PENALTY = 2.0
 
 
@@ -33,8 +34,8 @@
 
     Attributes:
         endpoint: Name of the endpoint.
-        predicted_s: Predicted seconds to the first token.
-        prompt_tokens: Tokens that must be read, without cached ones.
+        predicted_s: Predicted time to first token, in seconds.
+        prompt_tokens: Tokens to prefill, without those in the prefix cache.
     """
 
     endpoint: str
@@ -43,7 +44,7 @@
 
 
 class Policy(abc.ABC):
-    """Chooses an endpoint for one request."""
+    """Chooses the endpoint of a request."""
 
     name = ""
     uses_priorities = False
@@ -57,13 +58,13 @@
         pool: pool_lib.ServicePool,
         now: float,
     ) -> Choice | None:
-        """Return a choice, or None when the request should wait."""
+        """Return a choice, or None if the request should stay queued."""
 
 
 def fits(
     view: endpoints.EndpointView, request: request_lib.Request, free: bool
 ) -> bool:
-    """Return whether a request fits an engine's memory (or its free part)."""
+    """Return whether a request fits an engine's total or free KV cache."""
     if request.kind is servicekind.ServiceKind.PLAIN:
         return True
     room = view.kv_free if free else view.announcement.kv_tokens
@@ -71,7 +72,7 @@
 
 
 def uncached_choice(view, request, band=0) -> Choice:
-    """Return the choice of an endpoint without any cache."""
+    """Return the choice of an endpoint, assuming no cached prefix."""
     ahead = view.ahead(band)
     return Choice(
         endpoint=view.name,
@@ -81,7 +82,7 @@
 
 
 class RoundRobin(Policy):
-    """Takes the endpoints in turn."""
+    """Chooses the endpoints in turn."""
 
     name = "round_robin"
 
@@ -89,7 +90,7 @@
         self.turn = 0
 
     def choose(self, request, band, pool, now):
-        """Return the next endpoint that can ever hold the request."""
+        """Return the next endpoint whose total memory fits the request."""
         names = pool.all_names()
         for _ in range(len(names)):
             self.turn += 1
@@ -100,12 +101,12 @@
 
 
 class LeastRequests(Policy):
-    """Takes the endpoint with the fewest requests in flight."""
+    """Chooses the endpoint with the fewest requests in flight."""
 
     name = "least_requests"
 
     def choose(self, request, band, pool, now):
-        """Return the endpoint with the fewest own and reported requests."""
+        """Return the endpoint with the fewest reported and own requests."""
         views = [
             v
             for v in (pool.views[n] for n in pool.all_names())
@@ -118,7 +119,7 @@
 
 
 def request_count(view: endpoints.EndpointView) -> int:
-    """Return the requests at an endpoint: reported, plus own unreported."""
+    """Return the reported requests plus the own ones not yet reported."""
     unreported = sum(
         1 for w in view.work.values() if w.mark > view.reported_mark
     )
@@ -126,12 +127,12 @@
 
 
 class TwoRandomChoices(Policy):
-    """Takes the less loaded of two random endpoints."""
+    """Chooses the less loaded of two random endpoints."""
 
     name = "two_random_choices"
 
     def choose(self, request, band, pool, now):
-        """Return the one of two that has fewer requests."""
+        """Return the endpoint with fewer requests of two random ones."""
         names = [
             n
             for n in pool.all_names()
@@ -145,7 +146,7 @@
 
 
 class TokenBacklog(Policy):
-    """Takes the endpoint with the fewest waiting prompt tokens."""
+    """Chooses the endpoint with the fewest pending prompt tokens."""
 
     name = "token_backlog"
 
@@ -165,7 +166,10 @@
 
 
 class LengthAware(Policy):
-    """Common part of our policies: predicted first token, bounded choices."""
+    """Base of the policies that predict the time to first token.
+
+    Each choice compares a bounded number of endpoints.
+    """
 
     uses_priorities = True
     shares_notes = True
@@ -193,26 +197,27 @@
         return choice
 
     def fallback_options(self, request, band, pool, now):
-        """Return options outside a sample in which nothing had room."""
+        """Return options beyond a sample in which no endpoint has room."""
         return []
 
     def candidates(self, request, band, pool, now):
-        """Return the endpoints that are compared."""
+        """Return the endpoints to compare."""
         return pool.sample(self.sample_size, now)
 
     def cache_holders(self, request, pool, now, known):
-        """Return endpoints outside the sample that may hold the prefix."""
+        """Return endpoints beyond the sample that may cache the prefix."""
         names = pool.prefixes.likely_holders(request.prefix_hashes)
-        have = {view.name for view in known}
+        known_names = {view.name for view in known}
         wanted = [
             n
             for n in names
-            if n not in have and (n in pool.short_only or n in pool.mixed)
+            if n not in known_names
+            and (n in pool.short_only or n in pool.mixed)
         ]
         return pool.usable(wanted, now)
 
     def option(self, view, request, band, pool, now):
-        """Return an endpoint's cost, seconds ahead, and the choice."""
+        """Return the cost, the prefill seconds ahead and the choice."""
         cached = pool.prefixes.cached_share(
             view.name, request.prefix_hashes, now
         )
@@ -227,12 +232,15 @@
 
 
 class TtftAllLengths(LengthAware):
-    """Earliest first token for every length; engines serve short first."""
+    """Minimizes time to first token for prompts of every length.
+
+    The engines themselves prefill short prompts first.
+    """
 
     name = "ttft_all_lengths"
 
     def fallback_options(self, request, band, pool, now):
-        """Return options outside a sample in which nothing had room."""
+        """Return options beyond a sample in which no endpoint has room."""
         names = pool.short_only.first(MAX_SCANNED) + pool.mixed.first(
             MAX_SCANNED
         )
@@ -244,20 +252,21 @@
 
 
 class ShortSlowdown(LengthAware):
-    """Keeps enough engines free of long prompts for the short ones.
-
-    A long prompt joins engines that read long prompts already, and takes a
-    clean one freely while more stay clean than the short load needs. Past
-    that a clean engine costs it a multiple of its own reading time, the
-    price of the waits that it causes; the last ones, which the short load
-    keeps busy by itself, it never gets. Clean engines are offered in an
-    order that all entries share, so that they dirty the same ones.
+    """Keeps enough engines free of long prompts to serve the short ones.
+
+    A long prompt may join engines that already prefill long prompts (mixed
+    engines). It may use a short-only engine at no extra cost while more of
+    them are left than the short load needs. Beyond that, a short-only engine
+    costs a multiple of the prompt's own prefill time, for the delays that
+    short prompts suffer. The engines that the short load itself keeps busy
+    are never offered. All entries offer short-only engines in the same order,
+    so that they turn the same engines into mixed ones.
     """
 
     name = "short_slowdown"
 
     def candidates(self, request, band, pool, now):
-        """Return clean engines for a short prompt, else the long lane."""
+        """Return a sample; for a long prompt mainly mixed engines."""
         if band == 0:
             return pool.sample(self.sample_size, now)
         names = pool.mixed.sample(self.sample_size, pool.rng)
@@ -267,18 +276,20 @@
         return pool.usable(names, now)
 
     def first_with_room(self, request, spare, pool):
-        """Return the first spare clean engines that have room now.
+        """Return the first spare short-only engines that have room now.
 
-        A clean engine may still generate for long prompts and have no room:
-        with the first two of the order alone, prompts waited for those
-        while a dozen others were idle.
+        A short-only engine may still decode for long prompts and have no free
+        memory. Offering only the first two of the order made prompts wait for
+        those while a dozen other engines were idle.
         """
         offered = pool.short_only.first(min(spare, MAX_SCANNED))
-        roomy = [n for n in offered if fits(pool.views[n], request, free=True)]
-        return roomy[:LONG_PROMPT_CHOICES]
+        with_room = [
+            n for n in offered if fits(pool.views[n], request, free=True)
+        ]
+        return with_room[:LONG_PROMPT_CHOICES]
 
     def option(self, view, request, band, pool, now):
-        """Add the price of taking an engine that short prompts need."""
+        """Add the cost of using an engine that short prompts need."""
         cost, waiting_s, choice = super().option(view, request, band, pool, now)
         scarce = len(pool.short_only) <= pool.short_headroom(now)
         if band > 0 and scarce and view.name in pool.short_only:
@@ -289,7 +300,7 @@
 
 
 class Oracle(ShortSlowdown):
-    """Full information on the present, none on the future: the bound."""
+    """Knows the exact present state, but not the future: an upper bound."""
 
     name = "oracle"
 
@@ -297,7 +308,7 @@
         self.refresh = refresh
 
     def choose(self, request, band, pool, now):
-        """Look at the true state of every endpoint, then choose."""
+        """Refresh the view of every endpoint, then choose."""
         for view in pool.views.values():
             self.refresh(view)
             pool.classify(view)
@@ -306,7 +317,7 @@
 
 
 class PlainService(Policy):
-    """For plain services: the less busy of a few random endpoints."""
+    """Chooses the least busy of a few random endpoints of a plain service."""
 
     name = "plain"
 
@@ -330,7 +341,7 @@
 
 
 def for_service(service: config_lib.Service) -> Policy:
-    """Return the policy that a service's settings ask for."""
+    """Return the policy that a service's configuration selects."""
     if service.kind is servicekind.ServiceKind.PLAIN:
         return PlainService()
     if service.objective is config_lib.Objective.TTFT_ALL_LENGTHS:
--- a/src/_coltsfootroad/core/pool.py
+++ b/src/_coltsfootroad/core/pool.py
@@ -1,4 +1,4 @@
-"""The endpoints of one service, kept so that choosing stays cheap."""
+"""Indexes the endpoints of one service so that choices stay cheap."""
 
 import math
 import random
@@ -12,19 +12,20 @@
 from _coltsfootroad.core import prefixes as prefixes_lib
 from _coltsfootroad.core import registry
 
-# Window of the estimate of what short prompts need, in seconds.
+# Time constant of the estimate of the short load.
 LOAD_WINDOW_S = 20.0
-# Dirty engines looked at again per choice, to notice that they drained.
+# Mixed engines that are classified again per choice, as their backlog of long
+# prompts may have drained.
 RECHECKS = 2
 
 
 @attrs.define
 class RankedNames:
-    """Names in an order that all entries share, sampled cheaply."""
+    """Names in an order that all entries share, with cheap sampling."""
 
     service: str
     names: sortedcontainers.SortedKeyList = attrs.field(init=False)
-    known: set[str] = attrs.Factory(set)
+    name_set: set[str] = attrs.Factory(set)
 
     def __attrs_post_init__(self):
         self.names = sortedcontainers.SortedKeyList(
@@ -35,41 +36,49 @@
         return len(self.names)
 
     def __contains__(self, name: str) -> bool:
-        return name in self.known
+        return name in self.name_set
 
     def add(self, name: str) -> None:
-        """Add a name; adding it again changes nothing."""
-        if name not in self.known:
-            self.known.add(name)
+        """Add a name unless it is present."""
+        if name not in self.name_set:
+            self.name_set.add(name)
             self.names.add(name)
 
     def discard(self, name: str) -> None:
-        """Remove a name if it is there."""
-        if name in self.known:
-            self.known.discard(name)
+        """Remove a name if it is present."""
+        if name in self.name_set:
+            self.name_set.discard(name)
             self.names.remove(name)
 
     def first(self, count: int) -> list[str]:
-        """Return the names that come first in the order."""
+        """Return the first `count` names in the shared order."""
         return list(self.names[:count])
 
     def sample(self, count: int, rng: random.Random) -> list[str]:
-        """Return up to `count` different names.
+        """Return up to `count` distinct names in random order.
 
-        The order is random also when all are returned: in the shared order,
-        entries would break ties between idle engines all the same way.
+        The order is random even if all names are returned: with the shared
+        order, all entries would break ties between idle engines alike.
         """
-        places = range(len(self.names))
-        chosen = rng.sample(places, min(count, len(places)))
-        return [self.names[place] for place in chosen]
+        positions = range(len(self.names))
+        chosen = rng.sample(positions, min(count, len(positions)))
+        return [self.names[position] for position in chosen]
 
 
 @attrs.define
 class ServicePool:
-    """Views of one service's endpoints, split into clean and dirty ones.
-
-    Clean endpoints read nothing but short prompts. `short_load` estimates
-    how many engines the short prompts of this entry keep busy.
+    """Views of one service's endpoints, split by the prompts they prefill.
+
+    Short-only endpoints have no long prompts to prefill, mixed ones have.
+
+    Attributes:
+        leaving: Endpoints that take no new work.
+        others_short_load: Engines that the short prompts of the other entries
+            keep busy.
+        short_seconds: Decayed engine time of this entry's short prompts.
+        short_at: Time up to which `short_seconds` is decayed.
+        largest_kv: Largest KV cache of an endpoint, in tokens.
+        emptied_at: Latest time at which an endpoint stopped taking work.
     """
 
     service: str
@@ -87,7 +96,7 @@
     others_short_load: float = 0.0
     short_seconds: float = 0.0
     short_at: float = 0.0
-    turn: int = 0
+    next_recheck: int = 0
     largest_kv: int = 0
     emptied_at: float = 0.0
 
@@ -96,7 +105,7 @@
         self.mixed = RankedNames(self.service)
 
     def update(self, announcement: registry.Announcement, now: float) -> None:
-        """Add an endpoint or take its new announcement."""
+        """Add an endpoint or apply its new announcement."""
         name = announcement.endpoint
         view = self.views.get(name)
         if view is None or (
@@ -112,7 +121,7 @@
         self.update_largest_kv()
 
     def remove(self, name: str) -> None:
-        """Forget an endpoint that is gone."""
+        """Remove an endpoint."""
         self.views.pop(name, None)
         self.short_only.discard(name)
         self.mixed.discard(name)
@@ -122,13 +131,13 @@
         self.update_largest_kv()
 
     def update_largest_kv(self) -> None:
-        """Remember the largest engine, which admission asks for often."""
+        """Cache the largest KV cache size, which admission reads often."""
         self.largest_kv = max(
             (v.announcement.kv_tokens for v in self.views.values()), default=0
         )
 
     def classify(self, view: endpoints.EndpointView) -> None:
-        """Put an endpoint into the right set after a change."""
+        """Move an endpoint to the set that its state calls for."""
         name = view.name
         if not view.accepts:
             self.short_only.discard(name)
@@ -143,10 +152,10 @@
             self.mixed.add(name)
 
     def recheck(self, now: float) -> None:
-        """Look at a few dirty endpoints that may have drained."""
+        """Classify a few mixed endpoints whose backlog may have drained."""
         for _ in range(min(RECHECKS, len(self.mixed))):
-            self.turn += 1
-            name = self.mixed.names[self.turn % len(self.mixed)]
+            self.next_recheck += 1
+            name = self.mixed.names[self.next_recheck % len(self.mixed)]
             view = self.views[name]
             view.advance(now)
             self.classify(view)
@@ -160,7 +169,7 @@
     def usable(
         self, names: list[str], now: float
     ) -> list[endpoints.EndpointView]:
-        """Return the views of the names that are not ejected, drained."""
+        """Return the up-to-date views of the endpoints that are not ejected."""
         found = []
         for name in names:
             if self.outliers.is_ejected(name, now):
@@ -171,27 +180,27 @@
         return found
 
     def sample(self, count: int, now: float) -> list[endpoints.EndpointView]:
-        """Return up to `count` usable endpoints, clean ones first."""
+        """Return up to `count` usable endpoints, short-only ones first."""
         names = self.short_only.sample(count, self.rng)
         if len(names) < count:
             names += self.mixed.sample(count - len(names), self.rng)
         return self.usable(names, now) or self.any_usable(now)
 
     def any_usable(self, now: float) -> list[endpoints.EndpointView]:
-        """Return usable endpoints when a sample held only ejected ones."""
+        """Return all usable endpoints, for a sample of ejected ones only."""
         return self.usable([*self.short_only.names, *self.mixed.names], now)
 
     def all_names(self) -> list[str]:
-        """Return all endpoints that take new work, in a stable order."""
+        """Return the names of all endpoints that take new work, sorted."""
         return sorted([*self.short_only.names, *self.mixed.names])
 
     def record_short_prompt(self, seconds: float, now: float) -> None:
-        """Count the engine time of a short prompt."""
+        """Add the engine time of a short prompt to the load estimate."""
         self.decay_short_load(now)
         self.short_seconds += seconds
 
     def decay_short_load(self, now: float) -> None:
-        """Let old short prompts fade from the estimate."""
+        """Decay the load estimate exponentially up to `now`."""
         elapsed = max(0.0, now - self.short_at)
         self.short_seconds *= math.exp(-elapsed / LOAD_WINDOW_S)
         self.short_at = max(self.short_at, now)
@@ -204,10 +213,10 @@
     def short_headroom(self, now: float) -> int:
         """Return how many engines should stay free of long prompts.
 
-        Square-root staffing over the fleet's short load: the load itself
-        and two deviations. It is zero when no short prompts come, so that
-        no engine idles for a class that is absent. The other entries' loads
-        come with the heartbeats, so all entries find about the same number.
+        Square-root staffing over the fleet's short load: the load plus two
+        standard deviations. The result is 0 without short prompts, so that no
+        engine is reserved for an absent class. Heartbeats carry the loads of
+        the other entries, so all entries get about the same number.
         """
         load = self.short_load(now)
         if load < MIN_SHORT_LOAD:
@@ -223,5 +232,5 @@
 
 
 def fleet_rank(service: str, endpoint: str) -> int:
-    """Return an order of engines that every entry shares without talking."""
+    """Return an engine's rank, the same at all entries without coordination."""
     return hashing.stable_hash(service, endpoint)
--- a/src/_coltsfootroad/core/prefixes.py
+++ b/src/_coltsfootroad/core/prefixes.py
@@ -1,15 +1,15 @@
-"""Approximate index of the prefixes that engines hold in cache."""
+"""Approximate index of the prefixes in the engines' caches."""
 
 import collections
 
 import attrs
 
 MAX_BLOCKS_PER_ENGINE = 4_096
-# Belief in a block that no event has confirmed since. Lost events show as a
-# gap once a later one comes; this is for an engine that stopped publishing.
-# Documents are asked about again minutes later.
+# Time after which a stored block no longer counts as cached. Lost events show
+# as a gap once a later one arrives; this covers an engine that stopped
+# publishing. Prompts on the same document follow minutes later.
 BLOCK_TTL_S = 300.0
-# Engines offered to routing for their cache; more would cost it time.
+# Engines offered to routing for their cache, which bounds the time of a choice.
 MAX_HOLDERS = 4
 
 
@@ -26,7 +26,7 @@
 
 @attrs.define
 class EngineBlocks:
-    """What is believed of one engine's cache."""
+    """Assumed content of one engine's cache."""
 
     incarnation: int
     next_seq: int
@@ -35,14 +35,14 @@
 
 @attrs.define
 class PrefixIndex:
-    """Remembers cached blocks per engine within bounded memory."""
+    """Tracks the cached blocks of each engine in bounded memory."""
 
     engines: dict[str, EngineBlocks] = attrs.Factory(dict)
     holders: dict[str, set[str]] = attrs.Factory(dict)
     gaps: int = 0
 
     def apply(self, event: CacheEvent, now: float) -> None:
-        """Apply an event; a gap forgets all that was believed."""
+        """Apply an event; a gap in the sequence drops all assumed blocks."""
         known = self.engines.get(event.endpoint)
         if known is None or event.incarnation > known.incarnation:
             self.forget(event.endpoint)
@@ -51,7 +51,7 @@
         if event.incarnation < known.incarnation or event.seq < known.next_seq:
             return
         if event.seq > known.next_seq:
-            # A lost event may have been the eviction of any block.
+            # The lost event may have evicted any block.
             for block in list(known.blocks):
                 self.drop(event.endpoint, known, block)
             self.gaps += 1
@@ -66,7 +66,7 @@
             self.drop(event.endpoint, known, next(iter(known.blocks)))
 
     def drop(self, endpoint: str, known: EngineBlocks, block: str) -> None:
-        """Stop believing that an engine holds a block."""
+        """Remove a block of an engine."""
         if known.blocks.pop(block, None) is None:
             return
         holders = self.holders[block]
@@ -75,7 +75,7 @@
             del self.holders[block]
 
     def forget(self, endpoint: str) -> None:
-        """Drop all that is known of an engine."""
+        """Remove an engine."""
         known = self.engines.pop(endpoint, None)
         for block in list(known.blocks) if known else ():
             self.drop(endpoint, known, block)
@@ -91,7 +91,7 @@
     def cached_share(
         self, endpoint: str, prefix_hashes: tuple[str, ...], now: float
     ) -> float:
-        """Return the believed share (0 to 1) of a prompt that is cached."""
+        """Return the assumed share, 0 to 1, of a prompt that is cached."""
         known = self.engines.get(endpoint)
         if known is None or not prefix_hashes:
             return 0.0
--- a/src/_coltsfootroad/core/quarantine.py
+++ b/src/_coltsfootroad/core/quarantine.py
@@ -1,8 +1,8 @@
-"""Requests that are not run any more because they crash what runs them.
+"""Quarantine of requests that crash the endpoints that run them.
 
-The table is part of the replicated state, so that neither a lost leader nor a
-cold restart of the cluster forgets what has cost three endpoints. Gateways hold
-a copy of it.
+The table is part of the replicated state: an entry has cost three endpoints,
+so neither a leader's crash nor a cold restart of the cluster may lose it.
+Gateways hold a copy.
 """
 
 import collections
@@ -11,16 +11,15 @@
 
 from _coltsfootroad.core import fingerprints
 
-# How long a request is refused before one trial of it may run. The term doubles
-# with each trial.
+# Time before a refused request may run as a trial. It doubles with each trial.
 FIRST_TRIAL_DELAY_S = 60.0
-# Trials that an entry may cost. After the last one only an operator ends it.
+# Trials of an entry. After the last one only an operator can end it.
 MAX_TRIALS = 3
-# A workspace that sends many poison requests evicts its own oldest entries
-# first; other workspaces keep theirs.
+# A workspace with more entries evicts its own oldest ones, so that it cannot
+# evict those of other workspaces.
 MAX_PER_WORKSPACE = 64
 MAX_ENTRIES = 1_024
-# Entries name some of the endpoints that crashed, for operators.
+# Crashed endpoints that an entry names, for operators.
 MAX_ENDPOINTS = 8
 
 
@@ -30,13 +29,13 @@
 
     Attributes:
         fingerprint: The content that is refused.
-        reason: Why, for operators.
-        crashes: Endpoints that had crashed when it was added.
-        endpoints: Some of them.
-        since: When it was added, in unix seconds.
-        trial_at: From when on one trial may run, in unix seconds; None for
-            never.
-        trials: Trials that were started.
+        reason: Reason for operators.
+        crashes: Number of endpoints that had crashed when it was added.
+        endpoints: Names of some of them.
+        since: Time at which it was added, in unix seconds.
+        trial_at: Time from which one trial may run, in unix seconds; None if
+            no trial is left.
+        trials: Number of trials that were started.
     """
 
     fingerprint: fingerprints.Fingerprint
@@ -48,12 +47,12 @@
     trials: int = 0
 
     def allows_trial(self, unix_s: float) -> bool:
-        """Return whether a trial may begin."""
+        """Return whether a trial may start."""
         return self.trial_at is not None and unix_s >= self.trial_at
 
 
 def trial_time(trials: int, unix_s: float) -> float | None:
-    """Return when the next trial may run after some, None for never."""
+    """Return the time of the trial after `trials` trials, None for never."""
     if trials >= MAX_TRIALS:
         return None
     return unix_s + FIRST_TRIAL_DELAY_S * 2**trials
@@ -64,8 +63,8 @@
     """The entries by fingerprint, oldest first.
 
     Attributes:
-        entries: What is refused.
-        revision: Grows with each change; not part of snapshots.
+        entries: The refused content.
+        revision: Increases with each change; not part of snapshots.
     """
 
     entries: dict[fingerprints.Fingerprint, Entry] = attrs.Factory(dict)
@@ -79,7 +78,7 @@
         endpoints: tuple[str, ...],
         unix_s: float,
     ) -> Entry:
-        """Add an entry; one that is there already stays as it is."""
+        """Add an entry unless there is one, and return it."""
         if fingerprint in self.entries:
             return self.entries[fingerprint]
         entry = Entry(
@@ -96,7 +95,7 @@
         return entry
 
     def evict(self, workspace: str) -> None:
-        """Drop the oldest entries that exceed a bound."""
+        """Drop the oldest entries beyond the bounds."""
         own = [f for f in self.entries if f.workspace == workspace]
         for fingerprint in own[: max(0, len(own) - MAX_PER_WORKSPACE)]:
             del self.entries[fingerprint]
@@ -106,10 +105,10 @@
     def start_trial(
         self, fingerprint: fingerprints.Fingerprint, unix_s: float
     ) -> bool:
-        """Grant a trial if one is due; the next one is due a term later.
+        """Grant a trial if one is due, and schedule the next one.
 
-        The term is set before the outcome is known: a gateway that is lost
-        with its trial must not leave the entry open.
+        The next one is scheduled before the outcome is known: a gateway that
+        is lost during the trial must not leave the entry open.
         """
         entry = self.entries.get(fingerprint)
         if entry is None or not entry.allows_trial(unix_s):
@@ -136,7 +135,7 @@
 
 @attrs.frozen(kw_only=True)
 class ViewChange:
-    """What a page of changes meant to a copy."""
+    """Effect of a page of changes on a copy."""
 
     new: tuple[Entry, ...] = ()
     ended: tuple[fingerprints.Fingerprint, ...] = ()
@@ -147,10 +146,10 @@
     """A gateway's copy of the entries.
 
     Attributes:
-        entries: What is refused.
-        sizes: How many entries there are by workspace and length of the body;
-            requests of other sizes need no fingerprint.
-        unconfirmed: Entries that a full sync has not named yet.
+        entries: The refused content.
+        sizes: Number of entries by workspace and length of the body. Requests
+            of other sizes need no fingerprint.
+        unconfirmed: Entries that the full sync in progress has not named yet.
     """
 
     entries: dict[fingerprints.Fingerprint, Entry] = attrs.Factory(dict)
@@ -168,9 +167,9 @@
         whole: bool,
         more: bool,
     ) -> ViewChange:
-        """Take a page of changes; return the entries that are new or ended.
+        """Apply a page of changes; return the entries that are new or ended.
 
-        Entries survive until the last page of a full sync has left them out.
+        An entry that a full sync leaves out is kept until its last page.
         """
         if whole:
             self.unconfirmed = set(self.entries)
@@ -202,5 +201,5 @@
 
 
 def size_of(fingerprint: fingerprints.Fingerprint) -> tuple[str, int]:
-    """Return what is known of a request before its digest is computed."""
+    """Return the key of `QuarantineView.sizes`, which needs no digest."""
     return fingerprint.workspace, fingerprint.body_bytes
--- a/src/_coltsfootroad/core/registry.py
+++ b/src/_coltsfootroad/core/registry.py
@@ -1,9 +1,10 @@
-"""Endpoints as they announce themselves, with leases and incarnations.
+"""Registry of the endpoints' announcements, with leases and incarnations.
 
-An endpoint may start again under the name that it had. Its incarnation, where
-it states one, tells the starts apart: a later one replaces everything that was
-known, and no delayed word of an earlier one counts again. A sign-off states no
-incarnation, so one that comes soon after a restart may be the earlier start's.
+An endpoint may restart under the same name. Its incarnation, if it states one,
+distinguishes the starts: a later incarnation replaces all that is known of the
+name, and delayed announcements of earlier ones are ignored. A sign-off states
+no incarnation, so one that arrives soon after a restart may come from the
+earlier incarnation.
 """
 
 import enum
@@ -12,25 +13,25 @@
 
 from _coltsfootroad.core import servicekind
 
-# The incarnation of an endpoint that states none. Such an endpoint uses a new
-# name for each start, or lets its lease run out in between.
+# Stands for the incarnation of an endpoint that states none. Such an endpoint
+# uses a new name for each start, or lets its lease expire in between.
 NO_INCARNATION = 0
-# Signing off carries no number and supersedes every announcement.
+# A sign-off carries no number and supersedes every announcement.
 SIGN_OFF_SEQ = 2**62
-# How long an ended incarnation is remembered, so that an announcement that
-# was delayed on the way cannot revive it.
+# Lifetime of a tombstone, which keeps delayed announcements from reviving an
+# incarnation that has ended.
 TOMBSTONE_S = 300.0
-# A sign-off within this time of a restart may have been sent by the start
-# before; announcements come seconds late at most.
+# A sign-off within this time after a restart may come from the incarnation
+# before, as announcements are seconds late at most.
 UNCERTAIN_SIGN_OFF_S = 10.0
-# An endpoint whose sign-off is in doubt counts again once two announcements
-# this far apart have come after it. Those that an endpoint sends before it
-# signs off arrive together if they are late.
+# An endpoint with an uncertain sign-off counts again after two announcements
+# that arrive this far apart. Late announcements from before the sign-off arrive
+# together.
 MIN_RENEWAL_SPAN_S = 1.0
 
 
 class EndpointState(enum.Enum):
-    """What an endpoint says of itself."""
+    """State that an endpoint announces."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -39,19 +40,19 @@
 
 @attrs.frozen(kw_only=True)
 class Announcement:
-    """What an endpoint says of itself, renewed while it lives.
+    """An endpoint's description of itself, renewed while it runs.
 
     Attributes:
-        endpoint: Name, unique over the fleet.
-        incarnation: Grows with every start of the endpoint.
-        seq: Grows with every announcement of an incarnation.
-        service: Service that it serves.
+        endpoint: Name, unique in the fleet.
+        incarnation: Increases with every start of the endpoint.
+        seq: Increases with every announcement of an incarnation.
+        service: Name of the service.
         kind: Engine or plain service.
-        address: `ip:port` that takes requests.
-        availability_zone: Where it runs.
+        address: `ip:port` for requests.
+        availability_zone: Zone in which it runs.
         state: Serving, leaving or gone.
-        kv_tokens: KV cache size in tokens, engines only.
-        max_running: Requests that it batches at once.
+        kv_tokens: Size of the KV cache in tokens, engines only.
+        max_running: Size of a batch.
         models: Models that are loaded and ready.
     """
 
@@ -78,12 +79,13 @@
 
 @attrs.frozen(kw_only=True)
 class Tombstone:
-    """The starts of one name that have ended.
+    """The ended incarnations of one name.
 
     Attributes:
-        incarnation: The latest of them.
-        until: When this is forgotten.
-        replaced_at: When a later start took the name over, None if none has.
+        incarnation: The latest ended incarnation.
+        until: Time at which the tombstone is dropped.
+        replaced_at: Time at which a later incarnation replaced the ended one,
+            None if there is none.
     """
 
     incarnation: int
@@ -93,12 +95,12 @@
 
 @attrs.define
 class UncertainSignOff:
-    """A sign-off that may have been an earlier start's.
+    """A sign-off that may come from an earlier incarnation.
 
     Attributes:
-        incarnation: The start that it was taken for, None if none was known.
-        seq: The newest announcement of that start.
-        heard_at: When the first announcement after the sign-off came.
+        incarnation: Incarnation that it was applied to, None if none was known.
+        seq: Number of the newest announcement of that incarnation.
+        renewed_at: Arrival of the first announcement after the sign-off.
     """
 
     incarnation: int | None = None
@@ -107,7 +109,7 @@
 
 
 class Change(enum.Enum):
-    """What an announcement changed."""
+    """Effect of an announcement on the registry."""
 
     NONE = "none"
     RENEWED = "renewed"
@@ -116,7 +118,7 @@
 
 @attrs.define
 class Registry:
-    """Keeps the newest announcement of each endpoint while its lease lasts."""
+    """Holds the newest announcement of each endpoint until its lease ends."""
 
     registrations: dict[str, Registration] = attrs.Factory(dict)
     tombstones: dict[str, Tombstone] = attrs.Factory(dict)
@@ -129,10 +131,10 @@
         now: float,
         from_endpoint: bool = True,
     ) -> Change:
-        """Take an announcement unless a newer one is known.
+        """Apply an announcement unless a newer one is known.
 
-        `first_hand` says that the endpoint itself sent it just now; what
-        others remember of an endpoint settles no doubt.
+        `from_endpoint` states that the endpoint itself has just sent it.
+        Announcements that others remember resolve no uncertain sign-off.
         """
         name = announcement.endpoint
         known = self.registrations.get(name)
@@ -155,31 +157,32 @@
         return Change.UPDATED
 
     def has_ended(self, announcement: Announcement) -> bool:
-        """Return whether an announcement is of a start that has ended.
+        """Return whether an announcement is of an incarnation that has ended.
 
-        One that states no incarnation is no late word of a start that did.
+        One without an incarnation is not a late announcement of an incarnation
+        that stated one.
         """
-        ended = self.tombstones.get(announcement.endpoint)
-        if ended is None:
+        tombstone = self.tombstones.get(announcement.endpoint)
+        if tombstone is None:
             return False
-        if announcement.incarnation == NO_INCARNATION and ended.replaced_at:
-            return ended.incarnation == NO_INCARNATION
-        return announcement.incarnation <= ended.incarnation
+        if announcement.incarnation == NO_INCARNATION and tombstone.replaced_at:
+            return tombstone.incarnation == NO_INCARNATION
+        return announcement.incarnation <= tombstone.incarnation
 
     def supersede(
-        self, announcement: Announcement, before: Announcement, now: float
+        self, announcement: Announcement, previous: Announcement, now: float
     ) -> Announcement:
-        """Return an announcement as it counts after the one before it."""
-        if announcement.incarnation != before.incarnation:
-            self.tombstones[before.endpoint] = Tombstone(
-                incarnation=before.incarnation,
+        """Return an announcement, adjusted by the state of its predecessor."""
+        if announcement.incarnation != previous.incarnation:
+            self.tombstones[previous.endpoint] = Tombstone(
+                incarnation=previous.incarnation,
                 until=now + TOMBSTONE_S,
                 replaced_at=now,
             )
             return announcement
-        if before.state is EndpointState.LEAVING:
-            # An endpoint that has begun to leave never comes back under
-            # the same incarnation.
+        if previous.state is EndpointState.LEAVING:
+            # An endpoint that has begun to leave never serves again under the
+            # same incarnation.
             return attrs.evolve(announcement, state=EndpointState.LEAVING)
         return announcement
 
@@ -190,9 +193,10 @@
         now: float,
         from_endpoint: bool,
     ) -> Change:
-        """Take a sign-off; one without an incarnation is the known start's.
+        """Apply a sign-off.
 
-        Others who remember it mean the start that stated no incarnation.
+        Without an incarnation it ends the known one if the endpoint sent it,
+        and the one that states no incarnation if others remember it.
         """
         name = announcement.endpoint
         incarnation = announcement.incarnation
@@ -211,9 +215,9 @@
             del self.registrations[name]
         else:
             self.add_tombstone(name, incarnation, now)
-        states_none = announcement.incarnation == NO_INCARNATION
-        if from_endpoint and known is None and states_none:
-            # Which start it ended is not known here.
+        lacks_incarnation = announcement.incarnation == NO_INCARNATION
+        if from_endpoint and known is None and lacks_incarnation:
+            # It is unknown which incarnation this ends.
             self.uncertain_sign_offs[name] = UncertainSignOff()
         return Change.UPDATED
 
@@ -223,7 +227,7 @@
         known: Registration | None,
         now: float,
     ) -> bool:
-        """Return whether an earlier start may have sent a sign-off."""
+        """Return whether an earlier incarnation may have sent a sign-off."""
         if known is None:
             return False
         newest = known.announcement
@@ -231,15 +235,15 @@
             return False
         if newest.state is EndpointState.LEAVING:
             return False
-        ended = self.tombstones.get(newest.endpoint)
-        if ended is None or ended.replaced_at is None:
+        tombstone = self.tombstones.get(newest.endpoint)
+        if tombstone is None or tombstone.replaced_at is None:
             return False
-        return now - ended.replaced_at < UNCERTAIN_SIGN_OFF_S
+        return now - tombstone.replaced_at < UNCERTAIN_SIGN_OFF_S
 
     def resolves_sign_off(
         self, announcement: Announcement, now: float, from_endpoint: bool
     ) -> bool:
-        """Return whether an endpoint counts in spite of a sign-off."""
+        """Return whether an endpoint counts despite an uncertain sign-off."""
         uncertain = self.uncertain_sign_offs.get(announcement.endpoint)
         if uncertain is None:
             return True
@@ -247,55 +251,55 @@
             uncertain.incarnation = announcement.incarnation
         if uncertain.incarnation is None:
             return False
-        settled = announcement.incarnation > uncertain.incarnation
+        is_resolved = announcement.incarnation > uncertain.incarnation
         if announcement.incarnation == uncertain.incarnation and from_endpoint:
-            settled = keeps_announcing(uncertain, announcement, now)
-        if settled:
+            is_resolved = keeps_announcing(uncertain, announcement, now)
+        if is_resolved:
             del self.uncertain_sign_offs[announcement.endpoint]
-        return settled
+        return is_resolved
 
     def add_tombstone(self, name: str, incarnation: int, now: float) -> None:
-        """Forget an endpoint and refuse this incarnation from now on."""
+        """Remove an endpoint and refuse this incarnation from now on."""
         self.registrations.pop(name, None)
         self.uncertain_sign_offs.pop(name, None)
-        ended = self.tombstones.get(name)
-        if ended is not None:
-            incarnation = max(incarnation, ended.incarnation)
+        tombstone = self.tombstones.get(name)
+        if tombstone is not None:
+            incarnation = max(incarnation, tombstone.incarnation)
         self.tombstones[name] = Tombstone(
             incarnation=incarnation, until=now + TOMBSTONE_S
         )
 
     def final_incarnation(self, name: str) -> int | None:
-        """Return the last start that has ended, None if one may go on."""
-        ended = self.tombstones.get(name)
-        if ended is None or ended.replaced_at is not None:
+        """Return the last ended incarnation, None if a later one may run."""
+        tombstone = self.tombstones.get(name)
+        if tombstone is None or tombstone.replaced_at is not None:
             return None
-        return ended.incarnation
+        return tombstone.incarnation
 
     def expire(self, now: float) -> list[str]:
-        """Drop ended leases and old tombstones; return the dropped names.
+        """Drop ended leases and old tombstones; return names of ended leases.
 
-        A lease that ran out buries nothing: the endpoint may only have been
-        cut off and renews under the same incarnation.
+        The end of a lease leaves no tombstone: the endpoint may only have been
+        disconnected, and renews under the same incarnation.
         """
-        lapsed = [
+        expired = [
             name
             for name, known in self.registrations.items()
             if known.lease_until <= now
         ]
-        for name in lapsed:
+        for name in expired:
             del self.registrations[name]
-        for name, ended in list(self.tombstones.items()):
-            if ended.until <= now:
+        for name, tombstone in list(self.tombstones.items()):
+            if tombstone.until <= now:
                 del self.tombstones[name]
                 self.uncertain_sign_offs.pop(name, None)
-        return lapsed
+        return expired
 
 
 def keeps_announcing(
     uncertain: UncertainSignOff, announcement: Announcement, now: float
 ) -> bool:
-    """Return whether an endpoint goes on announcing itself for good."""
+    """Return whether announcements continue after an uncertain sign-off."""
     if announcement.seq <= uncertain.seq:
         return False
     uncertain.seq = announcement.seq
@@ -313,7 +317,7 @@
 def sign_off_announcement(
     endpoint: str, incarnation: int = NO_INCARNATION, seq: int = SIGN_OFF_SEQ
 ) -> Announcement:
-    """Return the announcement that an endpoint has ended."""
+    """Return an announcement of the end of an endpoint."""
     return Announcement(
         endpoint=endpoint,
         incarnation=incarnation,
--- a/src/_coltsfootroad/core/releases.py
+++ b/src/_coltsfootroad/core/releases.py
@@ -1,4 +1,4 @@
-"""Frees memory on engines: cancels until confirmed, finds what was lost."""
+"""Frees memory on engines by cancels that repeat until confirmed."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 @attrs.define
 class Releaser:
-    """Repeats cancels of own work and reclaims work of lost entries."""
+    """Repeats cancels of own work and frees work of lost entries."""
 
     owner: str
     pending: dict[tuple[str, endpoints.WorkKey], float] = attrs.Factory(dict)
@@ -29,7 +29,7 @@
         key: endpoints.WorkKey,
         now: float,
     ) -> actions.Cancel:
-        """Begin to free a piece of own work."""
+        """Start to free an own work item."""
         work = view.work[key]
         work.state = endpoints.WorkState.RELEASING
         return self.cancel(view.name, key, work, now)
@@ -41,12 +41,12 @@
         work: endpoints.OwnWork | None,
         now: float,
     ) -> actions.Cancel:
-        """Return a cancel and plan its repetition."""
-        pause = CANCEL_RETRY_S
+        """Return a cancel and schedule its repetition."""
+        pause_s = CANCEL_RETRY_S
         if work is not None:
             work.cancels += 1
-            pause *= 2 ** (work.cancels - 1)
-        again_at = now + min(pause, MAX_CANCEL_RETRY_S)
+            pause_s *= 2 ** (work.cancels - 1)
+        again_at = now + min(pause_s, MAX_CANCEL_RETRY_S)
         self.pending[endpoint, key] = again_at
         return actions.Cancel(
             endpoint=endpoint, request_id=key[0], attempt=key[1]
@@ -58,12 +58,12 @@
         self.orphaned.discard((endpoint, key))
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Stop cancelling at an endpoint that is gone with its memory."""
+        """Stop cancels at an endpoint that ended, and with it its memory."""
         for item in [i for i in self.pending if i[0] == endpoint]:
             self.confirmed(*item)
 
     def due(self, find_view: FindView, now: float) -> list[actions.Cancel]:
-        """Return the cancels to repeat now."""
+        """Return the cancels that are due."""
         found = []
         for (endpoint, key), at in list(self.pending.items()):
             if at > now:
@@ -74,7 +74,7 @@
         return found
 
     def next_timer(self) -> float | None:
-        """Return when the next cancel is to be repeated."""
+        """Return the time of the next repetition, None if there is none."""
         return min(self.pending.values(), default=None)
 
     def reconcile(
@@ -84,7 +84,7 @@
         members: tuple[addresses.Member, ...],
         now: float,
     ) -> list[actions.Cancel]:
-        """Return cancels for held memory that nobody needs any more."""
+        """Return cancels for held memory that is no longer needed."""
         found = []
         for held in report.held:
             key = (held.request_id, held.attempt)
@@ -101,12 +101,12 @@
         endpoint: str,
         members: tuple[addresses.Member, ...],
     ) -> bool:
-        """Return whether this entry should free a piece of held work.
+        """Return whether this entry should free a held work item.
 
-        Own work that is not known any more is free to go. Work of another
-        entry is freed only when a later start of that entry proves the old
-        process dead, or past the request's deadline: an isolated entry may
-        still be serving it until then.
+        Own work that is unknown is freed. Work of another entry is freed only
+        if a later incarnation of that entry proves that the process has ended,
+        or after the request's deadline: an isolated entry may still serve it
+        until then.
         """
         if held.owner == self.owner:
             return True
@@ -122,9 +122,14 @@
     def is_responsible(
         self, endpoint: str, members: tuple[addresses.Member, ...]
     ) -> bool:
-        """Return whether this entry cleans up after others at an endpoint."""
+        """Return whether this entry frees the lost work at an endpoint.
+
+        Rendezvous hashing selects one entry for each endpoint.
+        """
         owners = [f"{m.entry}/{m.incarnation}" for m in members]
         if not owners:
             return True
-        adopter = max(owners, key=lambda o: pool_lib.fleet_rank(endpoint, o))
-        return adopter == self.owner
+        responsible = max(
+            owners, key=lambda o: pool_lib.fleet_rank(endpoint, o)
+        )
+        return responsible == self.owner
--- a/src/_coltsfootroad/core/roster.py
+++ b/src/_coltsfootroad/core/roster.py
@@ -1,4 +1,4 @@
-"""The endpoints that an entry knows: coming, reporting, going."""
+"""Tracks the endpoints of an entry: announcements, load reports and ends."""
 
 import attrs
 
@@ -12,14 +12,14 @@
 
 @attrs.define
 class Roster(hosts.Following):
-    """The part of the entry core that follows endpoints."""
+    """The part of the entry core that tracks endpoints."""
 
     core: hosts.RosterHost
 
     def take_announcement(
         self, announcement: registry.Announcement, now: float
     ) -> None:
-        """Update the view of an endpoint unless a newer one is known."""
+        """Apply an announcement unless a newer one is known."""
         name = announcement.endpoint
         view = self.core.view(name)
         if view is not None:
@@ -42,7 +42,7 @@
         self.core.dispatcher.pump(announcement.service, now)
 
     def drop_endpoint(self, name: str, now: float) -> None:
-        """Forget an endpoint that is gone, and move its work elsewhere."""
+        """Remove an endpoint and fail the attempts at it."""
         view = self.core.view(name)
         if view is None:
             return
@@ -51,10 +51,10 @@
         self.core.pools[service].remove(name)
 
     def expire_endpoint(self, name: str, now: float) -> None:
-        """Give an endpoint whose lease has ended no new work.
+        """Send no new work to an endpoint whose lease has ended.
 
-        Streams that still make progress go on: the announcements may be
-        all that is lost. The others are looked at once more at once.
+        Streams that make progress continue, as only the announcements may be
+        lost. The timers of all its requests are checked at once.
         """
         view = self.core.view(name)
         if view is None:
@@ -67,14 +67,17 @@
                 self.core.flights.arm(flight, now)
 
     def drop_expired(self, now: float) -> None:
-        """Forget expired endpoints without work; reports find leftovers."""
+        """Remove expired endpoints without active work.
+
+        Later load reports reveal memory that is still held there.
+        """
         for name in list(self.core.endpoint_service):
             view = self.core.view(name)
             if view.expired and not view.has_active_work():
                 self.drop_endpoint(name, now)
 
     def fail_attempts(self, view: endpoints.EndpointView, now: float) -> None:
-        """Fail every attempt at an endpoint that died or restarted."""
+        """Fail every attempt at an endpoint that ended or restarted."""
         self.core.releaser.forget_endpoint(view.name)
         lost = list(view.work)
         view.work.clear()
@@ -86,7 +89,7 @@
                 )
 
     def take_load(self, report: endpoints.LoadReport, now: float) -> None:
-        """Update a view by a report and reconcile held memory."""
+        """Apply a load report and reconcile the held memory."""
         view = self.core.view(report.endpoint)
         if view is None or not view.on_report(report, now):
             return
--- a/src/_coltsfootroad/core/rotation.py
+++ b/src/_coltsfootroad/core/rotation.py
@@ -1,10 +1,10 @@
-"""Which gateways callers are sent to: a part of them, by rendezvous.
+"""Selects the gateways in rotation, to which callers are sent.
 
-The pattern it answers: many small gateways, each with less than a request a
-second. Whoever takes requests has to know what the others have sent, so the
-work of telling grows with the square of the gateways in use. A part of the
-gateways carries the same requests; the others take over within the time of a
-membership lease when one is lost.
+Gateways may be many and small, each with less than one request a second. Every
+gateway that takes requests has to know the sends of the others, so the cost of
+that exchange grows with the square of the gateways in rotation. A share of the
+gateways, chosen by rendezvous hashing, carries the same requests. When one is
+lost, another replaces it within the time of a membership lease.
 """
 
 from collections.abc import Iterable
@@ -17,24 +17,24 @@
 from _coltsfootroad.core import hashing
 from _coltsfootroad.core import members as members_lib
 
-# In use in each availability zone whatever its size: losing one of four
-# leaves room for its callers, and small deployments use all they have.
+# Gateways in rotation in each availability zone whatever its size: three of
+# four can carry the callers of a lost one, and small deployments use all.
 MIN_PER_ZONE = 4
-# Part of a zone's gateways in use. Small gateways see less than a request a
-# second each; deployments with more requests for each need more of them.
+# Share of a zone's gateways in rotation. It suits gateways with less than one
+# request a second each; deployments with more need a larger share.
 ROTATION_SHARE = 1 / 6
 RANK_KEY = "rotation"
-# What the gateways in use share of a limit that is split between gateways.
-# The others see a request only from callers with an old answer; they share
-# the rest, as all together must stay within the limit.
+# Share of a common limit that is split between the gateways in rotation. The
+# others get requests only from callers with outdated addresses; they split the
+# remainder, as the sum must stay within the limit.
 ROTATION_LIMIT_SHARE = 0.85
 
 
 def choose(members: Iterable[addresses.Member]) -> tuple[addresses.Member, ...]:
-    """Return the gateways in use; the same from the same members.
+    """Return the gateways in rotation, deterministic in the members.
 
-    A gateway that leaves or is lost gives its place to the next by rank and
-    moves nobody else's.
+    A gateway that leaves or is lost is replaced by the next one by rank; all
+    others stay.
     """
     zones = fanout.by_zone(m for m in members if not m.leaving)
     chosen = []
@@ -46,34 +46,34 @@
 
 
 def rank(member: addresses.Member) -> int:
-    """Return the place of a gateway in its zone's order; low is first."""
+    """Return the rank of a gateway in its zone; the lowest comes first."""
     return hashing.stable_hash(member.entry, RANK_KEY)
 
 
 @attrs.define
 class Rotation:
-    """The gateways in use, worked out again when the members change."""
+    """The gateways in rotation, recomputed when the members change."""
 
     members: members_lib.MemberView
-    seen: int = -1
+    seen_changes: int = -1
     chosen: tuple[addresses.Member, ...] = ()
 
     def current(self) -> tuple[addresses.Member, ...]:
-        """Return the gateways in use now."""
-        if self.seen != self.members.changes:
-            self.seen = self.members.changes
+        """Return the gateways in rotation."""
+        if self.seen_changes != self.members.changes:
+            self.seen_changes = self.members.changes
             self.chosen = choose(self.members.known.values())
         return self.chosen
 
     def includes(self, gateway: str) -> bool:
-        """Return whether callers are sent to a gateway."""
+        """Return whether a gateway is in rotation."""
         return any(member.entry == gateway for member in self.current())
 
     def limit_share(self, gateway: str) -> float:
-        """Return a gateway's part, 0 to 1, of a limit that all share."""
+        """Return a gateway's share, 0 to 1, of a limit common to all."""
         used = {member.entry for member in self.current()}
         others = len(self.members.known.keys() - used)
-        part = ROTATION_LIMIT_SHARE if others else 1.0
+        share = ROTATION_LIMIT_SHARE if others else 1.0
         if gateway in used:
-            return part / len(used)
-        return (1.0 - part) / max(1, others) if used else 1.0
+            return share / len(used)
+        return (1.0 - share) / max(1, others) if used else 1.0
--- a/src/_coltsfootroad/core/routes.py
+++ b/src/_coltsfootroad/core/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which service answers a host and path, for whom, how often."""
+"""Routes: the service, limits and rights for a host and path prefix."""
 
 import enum
 
@@ -11,12 +11,12 @@
 from _coltsfootroad.core import hashing
 
 HASH_RANGE = 2**64
-# Stands for no version; lower than any version.
+# Stands for no version; lower than every version.
 NO_VERSION = -1
 
 
 class RequestKind(enum.Enum):
-    """What may be repeated."""
+    """Whether requests may be repeated, and whether answers are streams."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -39,15 +39,15 @@
         name: Unique within a version.
         host: Host without port.
         prefix: Begins and ends with a slash.
-        kind: What may be repeated.
-        timeout_s: Longest time that a caller is kept waiting.
-        target_s: Time to the answer or first event that callers aim for.
-        gap_target_s: Longest pause between events that is still on time.
-        priority: Rank, 0 is the most urgent.
+        kind: Whether requests may be repeated, and whether answers are streams.
+        timeout_s: Longest time until a caller gets an answer.
+        target_s: Target for the time to the answer or first event.
+        gap_target_s: Target for the longest gap between events, 0 for none.
+        priority: Rank; 0 is the most urgent.
         splits: Services and their weights.
-        attempts: Endpoints that one request may be sent to.
-        public: Whether it needs no key.
-        resumable: Whether a stream may go on at another endpoint.
+        attempts: Number of endpoints that one request may be sent to.
+        public: Whether requests need no key.
+        resumable: Whether a stream may be resumed on another endpoint.
     """
 
     name: str
@@ -73,19 +73,20 @@
 
 @attrs.frozen(kw_only=True)
 class EngineSpec:
-    """How an engine spends its time, as its operator states it.
+    """Capacity and timing of an engine, as stated by its operator.
 
     Attributes:
-        slots: Requests that it batches.
-        kv_tokens: KV cache size in tokens.
-        stride: Token steps of a pass that includes writers; one event.
+        slots: Batch slots.
+        kv_tokens: Size of the KV cache in tokens.
+        stride: Token steps of a pass with decoding streams, each of which gets
+            one event per pass.
         step_s: Seconds of a token step.
-        per_sequence_s: Seconds a step takes more for each writing request.
-        context_s_per_token: The same for each token of its context.
-        read_tokens_per_s: Prompt tokens read a second.
-        pair_s: Seconds for each pair of a token and an earlier one.
-        chunk_tokens: Prompt tokens read in one step at most.
-        hop_s: Seconds that a step takes more for a prompt on several engines.
+        per_sequence_s: Additional seconds of a step per decoding stream.
+        context_s_per_token: Additional seconds of a step per context token.
+        read_tokens_per_s: Prefill rate in prompt tokens per second.
+        pair_s: Seconds of attention per pair of a token and an earlier one.
+        chunk_tokens: Prompt tokens prefilled in one step at most.
+        hop_s: Additional seconds of a step for a prompt on several engines.
     """
 
     slots: int = 8
@@ -102,7 +103,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceSpec:
-    """A service and what its endpoints allow."""
+    """A service and the limits of its endpoints."""
 
     name: str
     connection_limit: int = 0
@@ -111,7 +112,7 @@
 
 @attrs.frozen(kw_only=True)
 class KeyHolder:
-    """A workspace and the keys that its callers present."""
+    """A workspace and the API keys of its callers."""
 
     workspace: str
     keys: tuple[str, ...]
@@ -119,7 +120,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallerLimits:
-    """What a caller may send and how long it may take or stay idle."""
+    """Limits on the size and duration of requests and on idle connections."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4 * 1024 * 1024
@@ -129,7 +130,7 @@
 
 @attrs.frozen(kw_only=True)
 class RouteConfig:
-    """One complete version of the routes and what they refer to."""
+    """One complete version of the routes and all that they refer to."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -139,32 +140,32 @@
 
 
 def invalid(message: str) -> Result[None, errors.Failure]:
-    """Return the refusal of a version."""
+    """Return an error that refuses a version."""
     return Error(errors.Failure(errors.ErrorCode.INVALID_CONFIG, message))
 
 
 def check(config: RouteConfig) -> Result[None, errors.Failure]:
-    """Return what is wrong with a version, naming the bad value."""
+    """Return an error that names the invalid value of a version, if any."""
     if config.version < 0:
         return invalid(f"version {config.version} is negative")
     services = {service.name for service in config.services}
-    places: set[tuple[str, str]] = set()
+    locations: set[tuple[str, str]] = set()
     for route in config.routes:
-        fault = route_error(route, services)
-        if fault:
-            return invalid(f"route {route.name!r}: {fault}")
-        place = (route.host, route.prefix)
-        if place in places:
+        error = route_error(route, services)
+        if error:
+            return invalid(f"route {route.name!r}: {error}")
+        location = (route.host, route.prefix)
+        if location in locations:
             return invalid(
                 f"route {route.name!r}: another route has host"
                 f" {route.host!r} and prefix {route.prefix!r}"
             )
-        places.add(place)
+        locations.add(location)
     return check_keys(config.holders)
 
 
 def route_error(route: Route, services: set[str]) -> str:
-    """Return what is wrong with one route, empty if nothing is."""
+    """Return the error of one route, empty if it is valid."""
     for split in route.splits:
         if split.service not in services:
             return f"service {split.service!r} is not known"
@@ -182,7 +183,7 @@
 def check_keys(
     holders: tuple[KeyHolder, ...],
 ) -> Result[None, errors.Failure]:
-    """Return whether two workspaces share a key."""
+    """Return an error if two workspaces share a key."""
     owners: dict[str, str] = {}
     for holder in holders:
         for key in holder.keys:
@@ -196,7 +197,7 @@
 
 @attrs.define
 class RouteTable:
-    """A version, indexed for look-ups on each request."""
+    """A version of the routes, indexed for lookups."""
 
     config: RouteConfig
     by_host: dict[str, list[Route]] = attrs.Factory(dict)
@@ -214,7 +215,7 @@
         self.services = {s.name: s for s in self.config.services}
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest prefix of the path."""
         for route in self.by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -225,12 +226,12 @@
         return self.by_key.get(key)
 
     def needs_key(self, route: Route) -> bool:
-        """Return whether a request on a route has to present a key."""
+        """Return whether requests on a route need a key."""
         return bool(self.config.holders) and not route.public
 
 
 def choose_service(route: Route, request_id: str) -> str:
-    """Return the service of a request; the same id gives the same one."""
+    """Return the service of a request, deterministic in its ID."""
     total = sum(split.weight for split in route.splits)
     point = hashing.stable_hash(route.name, request_id) / HASH_RANGE * total
     for split in route.splits:
--- a/src/_coltsfootroad/core/routesync.py
+++ b/src/_coltsfootroad/core/routesync.py
@@ -1,4 +1,4 @@
-"""Follows the routes in force by the snapshots and deltas that a watch gets."""
+"""Tracks the routes in force from the snapshots and deltas of a watch."""
 
 import attrs
 
@@ -8,11 +8,11 @@
 
 @attrs.frozen
 class Received:
-    """What a response brought.
+    """Result of a response.
 
     Attributes:
         config: The version to put in force, None to keep the one held.
-        is_current: Whether the version held after this was in force when the
+        is_current: Whether the version held afterwards was in force when the
             request was sent.
     """
 
@@ -22,17 +22,17 @@
 
 @attrs.define
 class RouteSync:
-    """Decides what a watcher requests, and what a response proves.
+    """Decides which version a watcher requests and what a response proves.
 
     Attributes:
-        wants_snapshot: Whether the next request is for a whole version, as a
-            delta did not fit the version held.
+        wants_snapshot: Whether the next request is for a snapshot, as a delta
+            did not fit the version held.
     """
 
     wants_snapshot: bool = False
 
     def base_version(self, held: routes.RouteConfig | None) -> int:
-        """Return the version from which the next response is to begin."""
+        """Return the base version of the next response."""
         if held is None or self.wants_snapshot:
             return routes.NO_VERSION
         return held.version
@@ -44,10 +44,10 @@
         snapshot: routes.RouteConfig | None,
         delta: routedelta.RouteDelta | None,
     ) -> Received:
-        """Take a response to a request from `requested_version` on.
+        """Process the response to a request with base `requested_version`.
 
-        A delta that does not fit because another response has moved the held
-        version on since the request does not call for a snapshot.
+        No snapshot is needed if a delta does not fit only because another
+        response has replaced the held version since the request.
         """
         held_version = routes.NO_VERSION if held is None else held.version
         if delta is None or delta.version <= held_version:
--- a/src/_coltsfootroad/core/routeview.py
+++ b/src/_coltsfootroad/core/routeview.py
@@ -14,12 +14,12 @@
 class RouteView:
     """One version of the routes; never goes back within a process.
 
-    Times are of the boot clock, which counts suspension: a VM that wakes
-    up after a pause finds its proof too old at once.
+    Times are of the boot clock, which includes suspension: a vm that resumes
+    after a pause finds its proof too old at once.
 
     Attributes:
-        staleness_bound_s: Age of the proof past which it proves nothing.
-        confirmed_at: When the watch was *sent* that the leader answered.
+        staleness_bound_s: Age from which the proof is no longer valid.
+        confirmed_at: Time at which the last answered watch was *sent*.
     """
 
     staleness_bound_s: float
@@ -48,22 +48,22 @@
         return routes.NO_VERSION if config is None else config.version
 
     def adopt(self, config: routes.RouteConfig) -> bool:
-        """Put a higher version in force; never a lower one."""
+        """Put a version in force if it is higher than the present one."""
         if config.version <= self.version:
             return False
         self.table = routes.RouteTable(config)
         return True
 
-    def confirm(self, asked_at: float) -> None:
-        """Note that the version was current at `asked_at`."""
-        self.confirmed_at = max(self.confirmed_at, asked_at)
+    def confirm(self, requested_at: float) -> None:
+        """Record that the version was current at `requested_at`."""
+        self.confirmed_at = max(self.confirmed_at, requested_at)
 
     def age_s(self, now: float) -> float:
-        """Return how old the proof is."""
+        """Return the age of the proof."""
         return now - self.confirmed_at
 
     def is_current(self, now: float) -> bool:
-        """Return whether the proof is young enough to send requests."""
+        """Return whether the proof is fresh enough to send requests."""
         return (
             self.table is not None and self.age_s(now) < self.staleness_bound_s
         )
--- a/src/_coltsfootroad/core/syncing.py
+++ b/src/_coltsfootroad/core/syncing.py
@@ -1,4 +1,4 @@
-"""Heartbeats of an entry: what it tells the leader and what it learns."""
+"""Heartbeats of an entry: the requests to the leader and its replies."""
 
 import attrs
 
@@ -10,22 +10,26 @@
 from _coltsfootroad.core import hosts
 from _coltsfootroad.core import registry
 
-# Shortest time between two heartbeats that go out before their time.
-MIN_EARLY_SYNC_GAP_S = 0.1
+# Shortest time between two early heartbeats.
+MIN_EARLY_HEARTBEAT_GAP_S = 0.1
 LOAD_DIGITS = 4
 
 
 @attrs.define
 class Syncing(hosts.Hurrying):
-    """The part of the entry core that talks to the leader.
+    """The part of the entry core that exchanges heartbeats with the leader.
 
-    `announced` and `reported` hold what endpoints told this entry and the
-    leader has not confirmed to have heard.
+    Attributes:
+        wants_sync: Whether a heartbeat should be sent early.
+        registry_epoch: Epoch of the leader's registry.
+        registry_mark: Revision up to which registry changes are known.
+        announced: Announcements that the leader has not confirmed.
+        reported: Load reports that the leader has not confirmed.
     """
 
     core: hosts.SyncHost
     wants_sync: bool = False
-    early_sync_at: float = float("-inf")
+    early_heartbeat_at: float = float("-inf")
     registry_epoch: str = ""
     registry_mark: int = 0
     announced: dict[str, registry.Announcement] = attrs.Factory(dict)
@@ -71,34 +75,34 @@
             holdings=holdings,
         )
 
-    def request_early_sync(self, now: float) -> None:
-        """Ask for a heartbeat before its time, within a rate.
+    def request_heartbeat(self, now: float) -> None:
+        """Request an early heartbeat, at a limited rate.
 
-        A leader that cannot grant yet would otherwise be asked again at
-        every answer: hundreds of heartbeats a second after each failover.
+        Otherwise a leader that cannot grant shares yet would get a heartbeat
+        after every answer, hundreds a second after each failover.
         """
-        if now - self.early_sync_at >= MIN_EARLY_SYNC_GAP_S:
-            self.early_sync_at = now
+        if now - self.early_heartbeat_at >= MIN_EARLY_HEARTBEAT_GAP_S:
+            self.early_heartbeat_at = now
             self.wants_sync = True
 
     def take(
         self,
         request: messages.SyncRequest,
         reply: messages.SyncReply,
-        asked_at: float,
+        requested_at: float,
         now: float,
     ) -> None:
-        """Take the leader's answer to a heartbeat sent at `asked_at`."""
+        """Apply the leader's reply to a heartbeat sent at `requested_at`."""
         self.forget_delivered(request)
         if not self.adopt_config(reply.config):
             return
-        self.core.freshness.confirm(asked_at)
+        self.core.freshness.confirm(requested_at)
         self.core.freshness.member_view.learn(
             reply.members,
             reply.lost_members,
             from_new_leader=reply.epoch != self.registry_epoch,
         )
-        self.core.limits.apply(reply.shares, asked_at, now)
+        self.core.limits.apply(reply.shares, requested_at, now)
         if reply.epoch != self.registry_epoch:
             self.announce_all()
         self.registry_epoch = reply.epoch
@@ -116,24 +120,26 @@
         self.core.pump_all(now)
 
     def adopt_config(self, update: messages.ConfigUpdate | None) -> bool:
-        """Put a newer configuration in force; return whether all is well."""
+        """Apply an update; return whether the newest version is in force."""
         if update is None:
             return True
-        known = self.core.freshness
-        if update.version <= known.version:
-            # A reply that was delayed past a later one.
-            return update.version == known.version
-        fresh = configstore.apply_update(known.version, known.document, update)
-        if fresh is None:
-            known.version = -1
+        freshness = self.core.freshness
+        if update.version <= freshness.version:
+            # This reply arrived after a later one.
+            return update.version == freshness.version
+        updated = configstore.apply_update(
+            freshness.version, freshness.document, update
+        )
+        if updated is None:
+            freshness.version = -1
             return False
-        parsed = config_lib.parse(fresh[1])
+        parsed = config_lib.parse(updated[1])
         if parsed.is_error():
             return False
-        return known.adopt(fresh[0], fresh[1], parsed.ok)
+        return freshness.adopt(updated[0], updated[1], parsed.ok)
 
     def apply_group_holds(self, holds: dict[str, int]) -> None:
-        """Note the memory that other entries' groups reserve."""
+        """Record the memory that groups of other entries reserve."""
         own = {
             name
             for flight in self.core.flights.flights.values()
@@ -152,7 +158,7 @@
                 view.kv_group_held = 0 if name in own else held
 
     def forget_delivered(self, request: messages.SyncRequest) -> None:
-        """Stop forwarding what a heartbeat has delivered."""
+        """Drop the announcements and reports that a heartbeat has delivered."""
         for announcement in request.announcements:
             name = announcement.endpoint
             if self.announced.get(name) == announcement:
@@ -163,7 +169,7 @@
                 del self.reported[name]
 
     def announce_all(self) -> None:
-        """Tell a new leader of every endpoint; its registry starts empty."""
+        """Announce all endpoints to a new leader, whose registry is empty."""
         for pool in self.core.pools.values():
             for name, view in pool.views.items():
                 if not view.expired:
