--- a/features/core/choice.feature
+++ b/features/core/choice.feature
@@ -1,15 +1,15 @@
-Feature: A choice among engines costs the same however many there are
+Feature: The cost of choosing engines does not grow with the fleet
 
-  Scenario: Work by endpoint is what all gateways' work adds up to
-    Then drawn histories of own and others' work give the same by endpoint
+  Scenario: The index by endpoint holds the work of all gateways
+    Then after random histories of own and others' work the index is consistent
 
-  Scenario: Kept states of engines are what would be worked out anew
-    Then after drawn histories kept and new states choose alike
+  Scenario: Cached states of engines equal newly computed ones
+    Then after random histories cached and new states lead to the same choice
 
-  Scenario Outline: Of <idle> idle engines among <all> a <length> prompt compares <some>
-    Given <all> engines of which <idle> are idle and <reading> read a prompt
-    When engines are picked for a <length> prompt
-    Then at least <some> idle ones are compared, at most <most> engines in all
+  Scenario Outline: A <length> prompt compares at least <some> of <idle> idle engines among <all>
+    Given <all> engines, <idle> of them idle and <reading> prefilling
+    When candidates are selected for a <length> prompt
+    Then at least <some> idle engines are compared, at most <most> engines in all
 
     Examples:
       | all  | idle | reading | length | some | most |
@@ -21,28 +21,28 @@
       | 1000 | 300  | 500     | long   | 15   | 40   |
       | 1000 | 300  | 0       | short  | 4    | 24   |
 
-  Scenario: A short prompt finds the few engines that write and read nothing
-    Given 1000 engines of which 0 are idle and 700 read a prompt
-    When engines are picked for a short prompt
-    Then at least 8 that read nothing are compared
+  Scenario: A short prompt finds the few engines that only decode
+    Given 1000 engines, 0 of them idle and 700 prefilling
+    When candidates are selected for a short prompt
+    Then at least 8 engines without prefill are compared
 
-  Scenario: Half of a kind is near where that many are
+  Scenario: Half of the candidates of a kind are in the gateway's zone, if possible
     Given 100 engines in 5 zones, all idle
-    When engines are picked for a long prompt by a gateway of one zone
-    Then at least 10 of those compared are near and at least 10 far
+    When candidates are selected for a long prompt by a gateway of one zone
+    Then at least 10 of them are in its zone and at least 10 in others
 
-  Scenario Outline: The longest prompt finds memory with <lost> of 200 engines gone
-    Given 200 engines of which 120 are idle and 40 read a prompt
-    And <lost> of them rest, signed off or fell silent
+  Scenario Outline: The longest prompt finds memory with <lost> of 200 engines lost
+    Given 200 engines, 120 of them idle and 40 prefilling
+    And <lost> of them are ejected, signed off or expired
     When a prompt of 1000000 tokens is placed
-    Then engines for all of its memory are found and none of those gone
+    Then its memory is allocated on engines that are not lost
 
     Examples:
       | lost |
       | 0    |
       | 100  |
 
-  Scenario: Engines that come back one by one are not all chosen at once
-    Given 40 engines that all write
-    When 20 idle ones are announced and 60 short prompts come
-    Then no engine has got more than 8 of them
+  Scenario: Engines that return one by one do not attract all requests
+    Given 40 engines that all decode
+    When 20 idle engines are announced and 60 short prompts arrive
+    Then no engine gets more than 8 of them
--- a/features/core/restarts.feature
+++ b/features/core/restarts.feature
@@ -1,15 +1,16 @@
-Feature: Endpoints that start again under the name that they had
+Feature: Endpoints that restart under the same name
 
-  Words are heard by the leader in the order given, one a second, and a gateway
-  asks for news after each. `7.2 ready` is announcement 2 of start 7, `7 off` a
-  sign-off that states its start, `off` one that does not; start 0 states none.
+  The leader receives the messages in the order given, one per second, and a
+  gateway polls it after each. `7.2 ready` is announcement 2 of incarnation 7,
+  `7 off` a sign-off that states its incarnation, `off` one that does not.
+  Incarnation 0 stands for an announcement that states none.
 
-  Scenario Outline: After <words>
-    When the leader hears <words>
+  Scenario Outline: After <messages>
+    When the leader receives <messages>
     Then the endpoint is <state> at the leader and at a gateway
 
-    Examples: starts that state when they were
-      | words                                       | state  |
+    Examples: endpoints that state an incarnation
+      | messages                                    | state  |
       | 7.1 ready                                   | used   |
       | 7.9 ready, 8.1 ready                        | used   |
       | 8.1 ready, 7.9 ready                        | used   |
@@ -26,8 +27,8 @@
       | 7.1 ready, off, 7.2 ready, 7.3 ready        | unused |
       | 7.1 ready, off, 8.1 ready                   | used   |
 
-    Examples: a sign-off that states no start, soon after a restart
-      | words                                                   | state  |
+    Examples: a sign-off without an incarnation, soon after a restart
+      | messages                                                | state  |
       | 7.1 ready, 8.1 ready, off                               | unused |
       | 7.1 ready, 8.1 ready, off, 8.2 ready                    | unused |
       | 7.1 ready, 8.1 ready, off, 8.2 ready, 8.3 ready         | used   |
@@ -37,23 +38,23 @@
       | 7.1 ready, 8.1 ready, 8.2 draining, off, 8.3 ready, 8.4 ready | unused |
       | 7.1 ready, 8.1 ready, wait 11, 8.2 ready, off, 8.3 ready, 8.4 ready | unused |
 
-    Examples: a sign-off of which nothing was known
-      | words                            | state  |
+    Examples: a sign-off of an unknown endpoint
+      | messages                         | state  |
       | off, 7.1 ready                   | unused |
       | off, 7.1 ready, 7.2 ready        | used   |
       | off, 7.1 ready, 7.1 ready        | unused |
       | off, 0.1 ready, 0.2 ready        | unused |
 
-    Examples: silence
-      | words                                    | state  |
+    Examples: an expired lease
+      | messages                                 | state  |
       | 7.1 ready, wait 9                        | unused |
       | 7.1 ready, wait 9, 7.2 ready             | used   |
       | 7.1 ready, wait 9, 8.1 ready             | used   |
       | 7.1 ready, 8.1 ready, wait 9, 7.9 ready  | unused |
       | 7.1 ready, wait 9, 8.1 ready, 7.9 ready  | used   |
 
-    Examples: starts that state nothing, and both kinds under one name
-      | words                                    | state  |
+    Examples: endpoints without an incarnation, and both kinds under one name
+      | messages                                 | state  |
       | 0.1 ready, off, 0.2 ready                | unused |
       | 0.5 ready, 7.1 ready                     | used   |
       | 0.5 ready, 7.1 ready, 0.6 draining       | used   |
@@ -61,32 +62,32 @@
       | 7.1 ready, 0.6 ready                     | used   |
       | 7.1 ready, wait 9, 0.1 ready             | used   |
 
-  Scenario: Words of several starts in any order, any number of times
-    Then the latest start that was heard decides, in any order of its words
+  Scenario: Messages of several incarnations in any order, any number of times
+    Then the latest incarnation decides, in any order of its messages
 
   Scenario: A new leader learns of a sign-off from a gateway
-    When the leader hears 7.5 ready, 7 off
-    And another leader hears 7.6 ready late and then the gateway
+    When the leader receives 7.5 ready, 7 off
+    And another leader receives 7.6 ready late and then the gateway's state
     Then the endpoint is unused at the other leader
 
-  Scenario: A gateway remembers the end of a start that stated nothing
-    When the leader hears 0.5 ready, off, 7.1 ready
-    And another leader hears 7.2 ready late and then the gateway
+  Scenario: A gateway keeps the end of an endpoint without an incarnation
+    When the leader receives 0.5 ready, off, 7.1 ready
+    And another leader receives 7.2 ready late and then the gateway's state
     Then the endpoint is used at the other leader
 
-  Scenario: What gateways remember settles no doubt about a sign-off
-    When the leader hears 7.1 ready, 8.1 ready, off
-    And gateways bring along 8.2 ready, 8.3 ready
+  Scenario: Announcements that gateways repeat resolve no uncertain sign-off
+    When the leader receives 7.1 ready, 8.1 ready, off
+    And gateways repeat 8.2 ready, 8.3 ready
     Then the endpoint is unused at the leader and at a gateway
 
-  Scenario Outline: <belief> of the earlier start ends with it
-    When a gateway has seen an endpoint fail and hears that it started again
-    Then <belief> of the earlier start counts no more
+  Scenario Outline: <state> of an earlier incarnation ends with it
+    When a gateway has seen an endpoint fail and learns of its restart
+    Then <state> of the earlier incarnation no longer counts
 
     Examples:
-      | belief                    |
-      | the rest                  |
-      | the work                  |
-      | the failure that is late  |
-      | the misdirection that is late |
-      | the memory                |
+      | state                 |
+      | the ejection          |
+      | the work              |
+      | a late failure        |
+      | a late misdirection   |
+      | the memory            |
--- a/features/core/routedelta.feature
+++ b/features/core/routedelta.feature
@@ -1,39 +1,39 @@
-Feature: Gateways are told what changed between versions
+Feature: Gateways get deltas between versions of the routes
 
-  Scenario Outline: Applying the changes gives the newer version
+  Scenario Outline: A delta applied to a version yields the next one
     Given a version of 40 routes
     When the next version <changes>
-    Then it is told <how>, in at most <bytes> bytes
-    And a gateway that takes it has the next version in force
+    Then it is sent as a <form>, in at most <bytes> bytes
+    And a gateway that applies it has the next version in force
 
     Examples:
-      | changes             | how        | bytes |
-      | changes nothing     | as changes | 200   |
-      | adds 2 routes       | as changes | 700   |
-      | drops 3 routes      | as changes | 400   |
-      | moves a route       | as changes | 500   |
-      | takes a key away    | as changes | 400   |
-      | changes the limits  | as changes | 300   |
-      | adds a service      | as changes | 400   |
-      | changes all routes  | whole      | 12000 |
+      | changes             | form     | bytes |
+      | changes nothing     | delta    | 200   |
+      | adds 2 routes       | delta    | 700   |
+      | drops 3 routes      | delta    | 400   |
+      | moves a route       | delta    | 500   |
+      | revokes a key       | delta    | 400   |
+      | changes the limits  | delta    | 300   |
+      | adds a service      | delta    | 400   |
+      | changes all routes  | snapshot | 12000 |
 
-  Scenario: A gateway that is many versions behind gets all changes at once
+  Scenario: A gateway that is many versions behind gets one delta
     Given a version of 40 routes
     When 20 versions follow that add a route each
-    Then a gateway that takes what is told has the next version in force
-    And it is told as changes, in at most 6000 bytes
+    Then a gateway that applies the update has the next version in force
+    And it is sent as a delta, in at most 6000 bytes
 
-  Scenario Outline: What does not fit is asked for whole
+  Scenario Outline: A delta that does not fit makes a gateway request a snapshot
     Given a version of 40 routes
-    When a gateway <state> gets changes to the next version
-    Then it keeps its version and asks for the whole one
+    When a gateway <state> gets a delta to the next version
+    Then it keeps its version and requests a snapshot
 
     Examples:
       | state               |
       | without any version |
       | at another version  |
 
-  Scenario: Only some versions are remembered
+  Scenario: The number of stored versions is bounded
     Given a version of 40 routes
     When 200 versions follow that add a route each
-    Then at most 32 versions are remembered and an old gateway gets it whole
+    Then at most 32 versions are stored and an old gateway gets a snapshot
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -1,4 +1,4 @@
-"""Steps on choosing among many engines, without network."""
+"""Steps on choosing among many engines, without a network."""
 
 import random
 
@@ -29,7 +29,7 @@
 
 
 def prompt_of(tokens: int) -> engineplacement.Prompt:
-    """Return a prompt of a length with the aims of its kind."""
+    """Return a prompt of a length with the targets of its kind."""
     short = tokens < 10_000
     return engineplacement.Prompt(
         prompt_tokens=tokens,
@@ -67,7 +67,7 @@
 
 
 class History:
-    """Plays actions on a workload and keeps what it should hold."""
+    """Applies random actions to a workload."""
 
     def __init__(self):
         self.load = workload.Workload()
@@ -75,13 +75,13 @@
         self.seqs = {"g1": 0, "g2": 0}
 
     def play(self, actions) -> None:
-        """Play some actions, a tenth of a second apart."""
+        """Apply actions, a tenth of a second apart."""
         for action, place, key in actions:
             self.now += 0.1
             getattr(self, "do_" + action)(place, key)
 
     def do_add(self, place, key):
-        """Begin own work."""
+        """Add an own work item."""
         self.load.add(
             work_lib.Work(
                 endpoint=NAMES[place],
@@ -93,32 +93,32 @@
         )
 
     def own_key(self, key):
-        """Return a key of own work, None if there is none."""
+        """Return the key of an own work item, None if there is none."""
         keys = sorted(self.load.own)
         return keys[key % len(keys)] if keys else None
 
     def do_write(self, _place, key):
-        """Note the first event of own work."""
+        """Record the first event of an own work item."""
         found = self.own_key(key)
         if found is not None:
             self.load.own[found].writing = True
             self.load.touch(found)
 
     def do_late(self, _place, key):
-        """Note that own work's pauses matter no longer."""
+        """Drop the gap target of an own work item."""
         found = self.own_key(key)
         if found is not None:
             self.load.own[found].gap_target_s = 0.0
             self.load.touch(found)
 
     def do_remove(self, _place, key):
-        """End own work."""
+        """Remove an own work item."""
         found = self.own_key(key)
         if found is not None:
             self.load.remove(found)
 
     def tell(self, place, changes, full):
-        """Take another gateway's summary."""
+        """Apply another gateway's summary."""
         gateway = "g1" if place % 2 else "g2"
         self.seqs[gateway] += 1
         self.load.take(
@@ -133,7 +133,7 @@
         )
 
     def change(self, place, key):
-        """Return a piece of another gateway's work."""
+        """Return a work item of another gateway."""
         return workload.Change(
             key,
             NAMES[place],
@@ -143,31 +143,31 @@
         )
 
     def do_tell(self, place, key):
-        """Hear of a piece of work."""
+        """Receive one work item."""
         self.tell(place, (self.change(place, key),), False)
 
     def do_full(self, place, key):
-        """Hear of all work of a gateway."""
+        """Receive all work items of a gateway."""
         self.tell(place, (self.change(place, key),), True)
 
     def do_end(self, place, key):
-        """Hear of the end of a piece of work."""
+        """Receive the end of a work item."""
         self.tell(place, (workload.Change(key),), False)
 
     def do_expire(self, _place, _key):
-        """Let some time go by."""
+        """Advance the time and expire old work."""
         self.now += 1.5
         self.load.expire(self.now)
 
     def all_works(self):
-        """Return all work with its keys, one by one."""
+        """Return all work items with their keys."""
         found = [(("", k), w) for k, w in self.load.own.items()]
         for name, foreign in self.load.foreign.items():
             found += [((name, k), w) for k, w in foreign.works.items()]
         return found
 
 
-@then("drawn histories of own and others' work give the same by endpoint")
+@then("after random histories of own and others' work the index is consistent")
 def same_by_endpoint(context):
     @QUIET
     @drawn(ACTIONS)
@@ -185,13 +185,13 @@
         }
         assert index.late == {name: keys for name, keys in late.items() if keys}
         for name, works in wanted.items():
-            reading = any(not work.writing for work in works.values())
-            assert index.at(name).is_prefilling == reading
+            prefilling_now = any(not work.writing for work in works.values())
+            assert index.at(name).is_prefilling == prefilling_now
 
     check()
 
 
-@then("after drawn histories kept and new states choose alike")
+@then("after random histories cached and new states lead to the same choice")
 def choose_alike(context):
     @QUIET
     @drawn(ACTIONS, ACTIONS, st.sampled_from([5_000, 45_000, 300_000]))
@@ -207,25 +207,23 @@
                 SERVICE, prompt_of(tokens), set(), history.now
             )
 
-        kept = engines_lib.Chooser(
+        cached = engines_lib.Chooser(
             endpoints, history.load, "", random.Random(1)
         )
         history.play(before)
-        choose(kept)
+        choose(cached)
         history.play(after)
         new = engines_lib.Chooser(endpoints, history.load, "", random.Random(1))
-        assert choose(kept) == choose(new)
+        assert choose(cached) == choose(new)
 
     check()
 
 
-# --- picking ---------------------------------------------------------------
+# --- candidates -----------------------------------------------------------
 
 
-@given(
-    "{count:d} engines of which {idle:d} are idle and {reading:d} read a prompt"
-)
-def engines_of(context, count, idle, reading):
+@given("{count:d} engines, {idle:d} of them idle and {prefilling:d} prefilling")
+def engines_of(context, count, idle, prefilling):
     context.endpoints = endpointset.EndpointSet()
     context.load = workload.Workload()
     for number in range(count):
@@ -237,7 +235,7 @@
             work_lib.Work(
                 endpoint=name,
                 prompt_tokens=100_000,
-                writing=number >= idle + reading,
+                writing=number >= idle + prefilling,
                 gap_target_s=0.25,
                 sent_at=9.9,
             )
@@ -249,27 +247,28 @@
     engines_of(context, count, count, 0)
 
 
-@when("engines are picked for a {length} prompt")
+@when("candidates are selected for a {length} prompt")
 def picked(context, length):
     limits = candidates.DEFAULT_LIMITS
     places = limits.short if length == "short" else limits.long
-    drawn_ones = candidates.sample_endpoints(
+    sampled = candidates.sample_endpoints(
         context.endpoints.serving_endpoints("s"), 10.0, set(), random.Random(3)
     )
     context.picked = candidates.select_candidates(
-        drawn_ones, context.load.index, places, "z0", SPEC.slots
+        sampled, context.load.index, places, "z0", SPEC.slots
     )
     names = [one.name for one in context.picked]
     assert len(set(names)) == len(names), names
 
 
-@when("engines are picked for a long prompt by a gateway of one zone")
-def picked_in_zone(context):
+@when("candidates are selected for a long prompt by a gateway of one zone")
+def select_in_zone(context):
     picked(context, "long")
 
 
 @then(
-    "at least {some:d} idle ones are compared, at most {most:d} engines in all"
+    "at least {some:d} idle engines are compared, at most {most:d} engines in"
+    " all"
 )
 def compared(context, some, most):
     idle = [
@@ -281,8 +280,8 @@
     assert len(context.picked) <= most, len(context.picked)
 
 
-@then("at least {count:d} that read nothing are compared")
-def read_nothing(context, count):
+@then("at least {count:d} engines without prefill are compared")
+def without_prefill(context, count):
     found = [
         one
         for one in context.picked
@@ -291,8 +290,10 @@
     assert len(found) >= count, len(found)
 
 
-@then("at least {near:d} of those compared are near and at least {far:d} far")
-def near_and_far(context, near, far):
+@then(
+    "at least {near:d} of them are in its zone and at least {far:d} in others"
+)
+def in_and_outside_zone(context, near, far):
     zones = [one.announcement.availability_zone for one in context.picked]
     assert zones.count("z0") >= near, zones
     assert len(zones) - zones.count("z0") >= far, zones
@@ -301,8 +302,8 @@
 # --- losses ----------------------------------------------------------------
 
 
-@given("{lost:d} of them rest, signed off or fell silent")
-def some_gone(context, lost):
+@given("{lost:d} of them are ejected, signed off or expired")
+def lose_engines(context, lost):
     rng = random.Random(5)
     context.gone = set(rng.sample(sorted(context.endpoints.known), lost))
     for number, name in enumerate(sorted(context.gone)):
@@ -322,7 +323,7 @@
     context.choice = chooser.choose(SERVICE, prompt_of(tokens), set(), 10.1)
 
 
-@then("engines for all of its memory are found and none of those gone")
+@then("its memory is allocated on engines that are not lost")
 def memory_found(context):
     choice = context.choice
     used = {choice.endpoint.name, *(known.name for known in choice.helpers)}
@@ -334,29 +335,31 @@
 # --- herds -----------------------------------------------------------------
 
 
-@given("{count:d} engines that all write")
-def all_write(context, count):
+@given("{count:d} engines that all decode")
+def all_decode(context, count):
     engines_of(context, count, 0, 0)
 
 
-@when("{idle:d} idle ones are announced and {prompts:d} short prompts come")
+@when(
+    "{idle:d} idle engines are announced and {prompts:d} short prompts arrive"
+)
 def announced(context, idle, prompts):
     for number in range(idle):
         announce(context.endpoints, f"new{number}", zone=f"z{number % 5}")
     chooser = engines_lib.Chooser(
         context.endpoints, context.load, "z0", random.Random(9)
     )
-    context.got = {}
+    context.counts = {}
     for _ in range(prompts):
         name = chooser.choose(
             SERVICE, prompt_of(5_000), set(), 10.1
         ).endpoint.name
-        context.got[name] = context.got.get(name, 0) + 1
+        context.counts[name] = context.counts.get(name, 0) + 1
         context.load.add(
             work_lib.Work(endpoint=name, prompt_tokens=5_000, sent_at=10.1)
         )
 
 
-@then("no engine has got more than {most:d} of them")
-def no_herd(context, most):
-    assert max(context.got.values()) <= most, context.got
+@then("no engine gets more than {most:d} of them")
+def bounded_share(context, most):
+    assert max(context.counts.values()) <= most, context.counts
--- a/features/steps/crashledger_steps.py
+++ b/features/steps/crashledger_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the attribution of crashes."""
+"""Steps on the search for requests that crash endpoints."""
 
 import itertools
 
@@ -34,7 +34,7 @@
     context.culprits = ledgerpatterns.culprits_of(ledger)
 
 
-@then("convicted are: {names}")
+@then("the culprits are: {names}")
 def convicted_are(context, names):
     wanted = [] if names == "nothing" else names.split()
     found = set(context.culprits)
@@ -43,7 +43,9 @@
     }, found
 
 
-@when("poison is convicted and a bystander was in flight at two of its crashes")
+@when(
+    "poison is a known culprit and a bystander was in flight at two of its crashes"
+)
 def explained(context):
     reports = ledgerpatterns.in_a_row(1, "poison") + ledgerpatterns.in_a_row(
         2, "poison", "bystander", first=1
@@ -52,7 +54,7 @@
     context.culprits = ledgerpatterns.culprits_of(context.ledger)
 
 
-@when("the bystander meets another crash")
+@when("the bystander is in flight at another crash")
 def another(context):
     at = 5 * ledgerpatterns.STEP_S
     context.ledger.record(
@@ -66,21 +68,21 @@
     " popular {kind}"
 )
 def crash_in_turn(context, count, kind):
-    reports = ledgerpatterns.taking_turns_under_popular(count)
+    reports = ledgerpatterns.alternating_under_popular(count)
     if kind == "stream":
-        reports = ledgerpatterns.writing(reports, "popular")
+        reports = ledgerpatterns.with_output(reports, "popular")
     context.ledger = ledgerpatterns.ledger_of(reports)
     context.culprits = []
 
 
-@when("one more under the popular request, which an observer has missed")
-def missed(context):
+@when("one more crashes under the popular request, which an observer misses")
+def crash_missed_by_observer(context):
     (report,) = ledgerpatterns.in_a_row(1, "popular", first=8)
     context.ledger.record(report, report.at)
     context.culprits = ledgerpatterns.culprits_of(context.ledger)
 
 
-@when("the first of the poison requests is convicted")
+@when("the first of the poison requests is a known culprit")
 def first_convicted(context):
     context.culprits = ledgerpatterns.culprits_of(context.ledger, "poison0")
 
@@ -118,7 +120,7 @@
 
 
 @when(
-    "poison is convicted and a popular request is in flight at five more of"
+    "poison is a known culprit and a popular request is in flight at five more of"
     " its crashes"
 )
 def five_explained(context):
@@ -139,7 +141,7 @@
 
 
 @when(
-    "poison is convicted and a popular request is in flight at four of its"
+    "poison is a known culprit and a popular request is in flight at four of its"
     " crashes"
 )
 def four_explained(context):
@@ -169,8 +171,8 @@
 
 
 @when(
-    "the second one crashes again under both, as poison's gateway does not"
-    " know, reported {when}"
+    "the second one crashes again under both, unknown to poison's gateway,"
+    " reported {when}"
 )
 def crashes_again(context, when):
     at = 3 * ledgerpatterns.STEP_S
@@ -179,7 +181,7 @@
         ledgerpatterns.crash(1, at, popular=sent_at),
         endpoint=crashes.EndpointKey(endpoint="e1", incarnation=2),
     )
-    # Its gateway knows of the crash before and of no start since.
+    # The gateway of poison knows the first crash but not the new incarnation.
     unknown = ledgerpatterns.crash(1, ledgerpatterns.STEP_S, poison=sent_at)
     reports = [unknown, again] if when == "before" else [again, unknown]
     for report in reports:
@@ -199,7 +201,7 @@
     "four endpoints crash under poison and popular, a fifth under popular and"
     " other"
 )
-def rivals(context):
+def two_suspects(context):
     reports = ledgerpatterns.in_a_row(4, "poison", "popular")
     reports += ledgerpatterns.in_a_row(1, "popular", "other", first=4)
     context.ledger = ledgerpatterns.ledger_of(reports)
@@ -214,10 +216,10 @@
         context.culprits += ledgerpatterns.culprits_of(context.ledger, now=now)
 
 
-@then("any order of {count:d} reports convicts the same request")
+@then("any order of {count:d} reports yields the same culprit")
 def any_order(context, count):
     del context
-    reports = ledgerpatterns.followed()
+    reports = ledgerpatterns.with_bystander()
     reports.append(reports[0])
     assert len(reports) == count
     for order in itertools.permutations(reports):
--- a/features/steps/isolation_steps.py
+++ b/features/steps/isolation_steps.py
@@ -1,4 +1,4 @@
-"""Steps on suspects that are kept apart from each other."""
+"""Steps on suspects that are isolated from each other."""
 
 import itertools
 from unittest import mock
@@ -22,11 +22,11 @@
     return fingerprints.compute("POST", "h", "/x", "acme", b"%d" % number)
 
 
-def engine(number: int, start: int = 1, is_down: bool = False):
+def engine(number: int, incarnation: int = 1, is_down: bool = False):
     """Return an engine as a gateway knows it."""
     announcement = registry.Announcement(
         endpoint=f"engine-{number}",
-        incarnation=start,
+        incarnation=incarnation,
         seq=1,
         service="shop",
         address=f"10.0.0.{number}:1",
@@ -55,19 +55,21 @@
     context.isolation.update(context.suspects)
 
 
-@then("no engine is given to two suspects")
-def given_to_one(context):
+@then("no engine is assigned to two suspects")
+def assigned_to_one(context):
     taken = [selected(context, n) for n in range(len(context.suspects))]
     assert sum(map(len, taken)) == len(set().union(*taken)), taken
 
 
 @then("{count:d} suspects have an engine")
 def have_engines(context, count):
-    having = [n for n in range(len(context.suspects)) if selected(context, n)]
-    assert len(having) == count, having
+    with_engine = [
+        n for n in range(len(context.suspects)) if selected(context, n)
+    ]
+    assert len(with_engine) == count, with_engine
 
 
-@then("each suspect has an engine that runs")
+@then("each suspect has a running engine")
 def each_has(context):
     running = {e.name for e in context.engines if e.ejected_until <= NOW}
     for number in range(len(context.suspects)):
@@ -75,7 +77,7 @@
         assert found and found <= running, (number, found)
 
 
-@then("nothing is isolated")
+@then("no request is isolated")
 def none_isolated(context):
     assert not context.isolation.is_isolated(context.suspects[0])
 
@@ -89,24 +91,25 @@
 @given(
     "{suspects:d} suspects and {engines:d} engines that start {times:d} times"
 )
-def starts_again(context, suspects, engines, times):
+def restarts(context, suspects, engines, times):
     given_suspects(context, suspects, engines, 0)
-    context.turns = []
-    for start in range(1, times + 1):
-        context.engines = [engine(n, start) for n in range(engines)]
-        # Others of the fleet are down, so nobody may meet here.
+    context.rounds = []
+    for incarnation in range(1, times + 1):
+        context.engines = [engine(n, incarnation) for n in range(engines)]
+        # Most of the fleet is down, so two suspects must not share an engine.
         down = [engine(n + engines, is_down=True) for n in range(2 * engines)]
         context.engines += down
-        having = [n for n in range(suspects) if selected(context, n)]
-        context.turns.append(having)
+        with_engine = [n for n in range(suspects) if selected(context, n)]
+        context.rounds.append(with_engine)
 
 
-@then("any two suspects have been told apart, each by a start of its own")
-def told_apart(context):
+@then("any two suspects have been separated by an incarnation")
+def separated(context):
     numbers = range(len(context.suspects))
     for one, other in itertools.permutations(numbers, 2):
         assert any(
-            one in having and other not in having for having in context.turns
+            one in with_engine and other not in with_engine
+            for with_engine in context.rounds
         ), (one, other)
 
 
@@ -117,8 +120,8 @@
     context.isolation.update(context.suspects)
 
 
-@then("the engines of the others are still theirs")
-def still_theirs(context):
+@then("the other suspects keep their engines")
+def keep_engines(context):
     for number, before in enumerate(context.before):
         assert before <= selected(context, number), number
 
--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -1,4 +1,4 @@
-"""Steps on members, the gateways in use, and what those tell each other."""
+"""Steps on members, the gateways in rotation and their summaries of work."""
 
 import asyncio
 
@@ -43,13 +43,13 @@
     context.members.learn(named(names), (), True, 60.0)
 
 
-@when("a new leader that listens for {age:g} s names {names}")
+@when("a new leader that has led for {age:g} s reports {names}")
 def new_leader(context, age, names):
     names, _, lost = names.partition(" and has lost ")
     context.members.learn(named(names), tuple(lost.split()), True, age)
 
 
-@when("the same leader after {age:g} s names {names}")
+@when("the same leader after {age:g} s reports {names}")
 def same_leader(context, age, names):
     context.members.learn(named(names), (), False, age)
 
@@ -67,7 +67,7 @@
         for zone in range(zones)
         for place in range(size)
     )
-    # Distinct addresses, as the names' sums of bytes may be alike.
+    # Distinct addresses, as two names may have the same sum of bytes.
     found = tuple(
         attrs.evolve(one, peer_address=f"127.0.0.1:{20_000 + place}")
         for place, one in enumerate(found)
@@ -77,34 +77,34 @@
 
 
 def used(context) -> set[str]:
-    """Return the names of the gateways in use."""
+    """Return the names of the gateways in rotation."""
     return {one.entry for one in context.rotation.current()}
 
 
-@then("{count:d} gateways of each zone are in use")
+@then("{count:d} gateways of each zone are in rotation")
 def in_use(context, count):
     zones = [one.availability_zone for one in context.rotation.current()]
     assert zones
     assert all(zones.count(zone) == count for zone in zones), zones
 
 
-@when("one in use is lost")
-def one_lost(context):
+@when("a gateway in rotation is lost")
+def lose_one(context):
     context.before = used(context)
     context.gone = min(context.before)
     context.members.learn((), (context.gone,), False)
 
 
-@when("one in use begins to leave")
-def one_leaves(context):
+@when("a gateway in rotation begins to leave")
+def leave_one(context):
     context.before = used(context)
     context.gone = min(context.before)
     leaving = attrs.evolve(context.members.known[context.gone], leaving=True)
     context.members.learn((leaving,), (), False)
 
 
-@then("one other of its zone is in use and all others stay")
-def one_other(context):
+@then("another one of its zone is in rotation and all others stay")
+def one_replaced(context):
     after = used(context)
     assert context.before - after == {context.gone}
     (new,) = after - context.before
@@ -117,39 +117,39 @@
     assert abs(sum(shares) - 1.0) < 1e-9, sum(shares)
 
 
-@then("one in use has a share of {share:g}")
+@then("a gateway in rotation has a share of {share:g}")
 def share_in_use(context, share):
     found = context.rotation.limit_share(min(used(context)))
     assert abs(found - share) < 1e-4, found
 
 
-# --- telling -------------------------------------------------------------
+# --- summaries -----------------------------------------------------------
 
 
 class Sent:
-    """Stands in for the socket; notes where datagrams go."""
+    """Stands in for the socket; records the addresses of datagrams."""
 
     def __init__(self):
         self.to: list[tuple[str, int]] = []
 
     def is_closing(self):
-        """Return whether the socket closes."""
+        """Return that the socket is open."""
         return False
 
     def sendto(self, data, address):
-        """Note a datagram."""
+        """Record the address of a datagram."""
         del data
         self.to.append(address)
 
     def close(self):
-        """Close nothing."""
+        """Do nothing."""
 
 
 @given("a gateway {place} among {zones:d} zones of {size:d} gateways")
 def gateway_among(context, place, zones, size):
     zones_of(context, zones, size)
     names = used(context)
-    if place == "not in use":
+    if place == "not in rotation":
         names = set(context.members.known) - names
     bed = gatewaybed.Bed.without_sockets(min(names))
     bed.view.member_view.learn(tuple(context.members.known.values()), (), True)
@@ -158,11 +158,11 @@
     context.gossip.transport = Sent()
 
 
-@given("it has heard of {what} at one that is not in use")
+@given("a gateway that is not in rotation has reported {what} to it")
 def heard(context, what):
-    spare = set(context.members.known) - used(context)
-    name = max(spare)
-    context.heard = context.members.known[name].peer_address
+    not_in_rotation = set(context.members.known) - used(context)
+    name = max(not_in_rotation)
+    context.reporter = context.members.known[name].peer_address
     tokens = 0 if what == "a plain call" else 5_000
     changes = [workload.Change(1, "e1", prompt_tokens=tokens)]
     if what == "an ended prompt":
@@ -178,15 +178,15 @@
         context.gateway.load.take(summary, 0.0)
 
 
-@then("it tells {count:d} others, that one {included}")
-def tells(context, count, included):
-    told = {one.peer_address for one in context.gossip.receivers()}
-    assert len(told) == count, len(told)
-    assert (context.heard in told) == (included == "among them")
+@then("it reports work to {count:d} others, that gateway {included}")
+def reports_to(context, count, included):
+    addressed = {one.peer_address for one in context.gossip.receivers()}
+    assert len(addressed) == count, len(addressed)
+    assert (context.reporter in addressed) == (included == "among them")
 
 
-@when("it passes on a plain call that takes {took:d} ms")
-def passes_on(context, took):
+@when("it forwards a plain call that takes {took:d} ms")
+def forwards_call(context, took):
     gateway = context.gateway
     gateway.gossip = context.gossip
     known = endpointset.KnownEndpoint(
@@ -205,13 +205,13 @@
     asyncio.run(call())
 
 
-@then("the call is {told}")
-def call_told(context, told):
-    assert bool(context.gossip.transport.to) == (told == "told")
+@then("the call is {reported}")
+def call_reported(context, reported):
+    assert bool(context.gossip.transport.to) == (reported == "reported")
 
 
-@when("it has work in {rounds} rounds of telling")
-def rounds_of_telling(context, rounds):
+@when("it has work in {rounds} rounds of summaries")
+def rounds_of_summaries(context, rounds):
     context.sent = []
     for word in rounds.split():
         load = context.gateway.load
@@ -232,8 +232,8 @@
     assert found == wanted, found
 
 
-@then("it lets its answers be held back for {seconds:g} s")
-def held_back(context, seconds):
+@then("its watch may be held for {seconds:g} s")
+def held_for(context, seconds):
     watch = watch_lib.Watch.__new__(watch_lib.Watch)
     watch.gateway = context.gateway
     assert watch.hold_s() == seconds
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -1,4 +1,4 @@
-"""Steps on endpoints that start again under the name that they had."""
+"""Steps on endpoints that restart under the same name."""
 
 import asyncio
 import random
@@ -33,8 +33,8 @@
 MEMBER = addresses.Member(entry="g", incarnation=1, address="127.0.0.1:1")
 
 
-class Heard:
-    """A leader and a gateway that asks it for news after each word."""
+class Site:
+    """A leader and a gateway that polls it after each message."""
 
     def __init__(self):
         self.now = 100.0
@@ -42,18 +42,18 @@
         self.endpoints = endpointset.EndpointSet()
         self.mark = 0
 
-    def hear(self, word: str) -> None:
-        """Take one word, as the feature writes them."""
-        if word.startswith("wait "):
-            self.now += float(word.removeprefix("wait "))
+    def receive(self, message: str) -> None:
+        """Receive one message in the notation of the feature."""
+        if message.startswith("wait "):
+            self.now += float(message.removeprefix("wait "))
         else:
-            self.hub.take_announcement(announcement(word), 8.0, self.now)
+            self.hub.take_announcement(announcement(message), 8.0, self.now)
             self.now += 1.0
-        self.ask()
+        self.poll()
 
-    def ask(self, brought: tuple = ()) -> None:
-        """Let the gateway ask for news."""
-        news = watch(self.hub, self.now, self.mark, brought)
+    def poll(self, repeated: tuple = ()) -> None:
+        """Let the gateway poll the leader, and report announcements to it."""
+        news = watch(self.hub, self.now, self.mark, repeated)
         self.mark = news.registry_mark
         for found in news.changes.announcements:
             self.endpoints.learn(found, self.now)
@@ -63,48 +63,48 @@
             self.endpoints.learn(found, self.now)
 
     def used(self) -> tuple[bool, bool]:
-        """Return whether the endpoint is used, there and here."""
+        """Return whether the endpoint is used, at the leader and the gateway."""
         return is_used(self.hub), bool(
             self.endpoints.serving_endpoints(SERVICE)
         )
 
 
 def new_hub(now: float) -> hub_lib.Hub:
-    """Return the soft state of a new leader."""
+    """Return the in-memory state of a new leader."""
     return hub_lib.Hub("epoch", state_lib.ControlState(), now)
 
 
-def watch(hub, now: float, mark: int, brought: tuple = ()) -> watching.News:
-    """Return the news since a mark."""
+def watch(hub, now: float, mark: int, repeated: tuple = ()) -> watching.News:
+    """Return the changes since a revision."""
     question = watching.Watch(
         member=MEMBER,
         routes_version=-1,
         epoch=hub.epoch,
         registry_mark=mark,
-        announcements=brought,
+        announcements=repeated,
         wait_s=0.0,
     )
     return hub.on_watch(question, now)
 
 
 def is_used(hub: hub_lib.Hub) -> bool:
-    """Return whether a leader tells of the endpoint as serving."""
+    """Return whether the endpoint is serving in a leader's registry."""
     known = hub.registry.registrations.get(NAME)
     serving = registry.EndpointState.SERVING
     return known is not None and known.announcement.state is serving
 
 
-def announcement(word: str) -> registry.Announcement:
-    """Return what a word of the feature stands for."""
-    mark, _, state = word.rpartition(" ")
+def announcement(message: str) -> registry.Announcement:
+    """Return the announcement of a message in the feature."""
+    mark, _, state = message.rpartition(" ")
     if state == "off":
         return registry.sign_off_announcement(
             NAME, int(mark or registry.NO_INCARNATION)
         )
-    start, _, seq = mark.partition(".")
+    incarnation_text, _, seq = mark.partition(".")
     return registry.Announcement(
         endpoint=NAME,
-        incarnation=int(start),
+        incarnation=int(incarnation_text),
         seq=int(seq),
         service=SERVICE,
         address="127.0.0.1:2",
@@ -112,25 +112,25 @@
     )
 
 
-@when("the leader hears {words}")
-def hears(context, words):
-    context.heard = Heard()
-    for word in words.split(", "):
-        context.heard.hear(word)
+@when("the leader receives {messages}")
+def receives(context, messages):
+    context.site = Site()
+    for message in messages.split(", "):
+        context.site.receive(message)
 
 
 @then("the endpoint is {state} at the leader and at a gateway")
 def is_known_as(context, state):
     wanted = state == "used"
-    assert context.heard.used() == (wanted, wanted), context.heard.hub.registry
+    assert context.site.used() == (wanted, wanted), context.site.hub.registry
 
 
-@when("another leader hears {word} late and then the gateway")
-def other_leader(context, word):
+@when("another leader receives {message} late and then the gateway's state")
+def other_leader(context, message):
     context.other = new_hub(200.0)
-    context.other.take_announcement(announcement(word), 8.0, 200.0)
-    brought = context.heard.endpoints.current_announcements()
-    watch(context.other, 200.1, 0, brought)
+    context.other.take_announcement(announcement(message), 8.0, 200.0)
+    repeated = context.site.endpoints.current_announcements()
+    watch(context.other, 200.1, 0, repeated)
 
 
 @then("the endpoint is {state} at the other leader")
@@ -138,16 +138,16 @@
     assert is_used(context.other) == (state == "used"), context.other.registry
 
 
-@when("gateways bring along {words}")
-def bring(context, words):
-    for word in words.split(", "):
-        context.heard.now += 2.0
-        context.heard.ask((announcement(word),))
+@when("gateways repeat {messages}")
+def repeat(context, messages):
+    for message in messages.split(", "):
+        context.site.now += 2.0
+        context.site.poll((announcement(message),))
 
 
 # --- any order -------------------------------------------------------------
 
-# Each start says it is ready, then that it drains, then signs off.
+# Each incarnation is ready, then drains, then signs off.
 SCRIPT = (
     "{}.1 ready",
     "{}.2 ready",
@@ -157,43 +157,45 @@
 )
 
 
-def expected(words: list[str]) -> bool:
-    """Return whether the endpoint is to be used after words in any order."""
-    latest = max(start_of(word) for word in words)
-    own = [word for word in words if start_of(word) == latest]
-    return all(word.endswith("ready") for word in own)
+def expected(messages: list[str]) -> bool:
+    """Return whether the endpoint should be used after messages in any order."""
+    latest = max(incarnation_of(message) for message in messages)
+    own = [message for message in messages if incarnation_of(message) == latest]
+    return all(message.endswith("ready") for message in own)
 
 
-def start_of(word: str) -> int:
-    """Return the start that a word is of."""
-    return int(word.replace(" ", ".").split(".")[0])
+def incarnation_of(message: str) -> int:
+    """Return the incarnation of a message."""
+    return int(message.replace(" ", ".").split(".")[0])
 
 
-@then("the latest start that was heard decides, in any order of its words")
+@then("the latest incarnation decides, in any order of its messages")
 def any_order(context):
-    words = [text.format(n) for n in (7, 8, 9) for text in SCRIPT]
+    messages = [text.format(n) for n in (7, 8, 9) for text in SCRIPT]
 
     @hypothesis.settings(
         derandomize=True, database=None, deadline=None, max_examples=400
     )
     @hypothesis.given(
-        strategies.lists(strategies.sampled_from(words), min_size=1, max_size=7)
+        strategies.lists(
+            strategies.sampled_from(messages), min_size=1, max_size=7
+        )
     )
-    def holds(said):
-        heard = Heard()
-        for word in said:
-            heard.hear(word)
-        wanted = expected(said)
-        assert heard.used() == (wanted, wanted), said
+    def holds(received):
+        site = Site()
+        for message in received:
+            site.receive(message)
+        wanted = expected(received)
+        assert site.used() == (wanted, wanted), received
 
     holds()
 
 
-# --- beliefs ---------------------------------------------------------------
+# --- restarts --------------------------------------------------------------
 
 
 class Scene:
-    """A gateway's beliefs of one endpoint before and after its restart."""
+    """A gateway's state of one endpoint before and after its restart."""
 
     def __init__(self):
         self.endpoints = endpointset.EndpointSet()
@@ -206,10 +208,10 @@
         for _ in range(4):
             self.endpoints.on_failure(NAME, 2.0, unreachable=True)
         self.load.add(work_lib.Work(endpoint=NAME, sent_at=2.0))
-        told = workload.Change(1, NAME, age_ms=500)
+        change = workload.Change(1, NAME, age_ms=500)
         self.load.take(
             workload.Summary(
-                gateway="h", incarnation=1, seq=1, full=True, changes=(told,)
+                gateway="h", incarnation=1, seq=1, full=True, changes=(change,)
             ),
             2.5,
         )
@@ -217,18 +219,18 @@
         self.later = self.endpoints.known[NAME]
 
 
-@when("a gateway has seen an endpoint fail and hears that it started again")
+@when("a gateway has seen an endpoint fail and learns of its restart")
 def scene(context):
     context.scene = Scene()
 
 
-@then("the rest of the earlier start counts no more")
-def no_rest(context):
+@then("the ejection of the earlier incarnation no longer counts")
+def no_ejection(context):
     later = context.scene.later
     assert (later.failures, later.ejected_until) == (0, 0.0), later
 
 
-@then("the work of the earlier start counts no more")
+@then("the work of the earlier incarnation no longer counts")
 def no_work(context):
     spec = routes.ServiceSpec(name=SERVICE)
     choice = context.scene.chooser.choose(spec, None, set(), 3.1)
@@ -236,8 +238,8 @@
     assert choice.load == 0, choice
 
 
-def note_late(scene, status: int, end: upstream.CallEnd) -> None:
-    """Tell the endpoint set how a send to the earlier start ended."""
+def apply_late_end(scene, status: int, end: upstream.CallEnd) -> None:
+    """Apply the late end of a send to the earlier incarnation."""
     sink = answers.HeldAnswer(None, "r")
     sink.status = status
     sink.genuine = status > 0
@@ -245,27 +247,27 @@
     health.note(scene.endpoints, choice, sends.Outcome.LOST, end, sink, 3.2)
 
 
-@then("the failure that is late of the earlier start counts no more")
+@then("a late failure of the earlier incarnation no longer counts")
 def no_failure(context):
-    note_late(context.scene, 0, upstream.CallEnd.NOT_SENT)
+    apply_late_end(context.scene, 0, upstream.CallEnd.NOT_SENT)
     assert context.scene.later.failures == 0
 
 
-@then("the misdirection that is late of the earlier start counts no more")
-def no_burial(context):
+@then("a late misdirection of the earlier incarnation no longer counts")
+def no_tombstone(context):
     end = upstream.CallEnd.COMPLETE
-    note_late(context.scene, answers.MISDIRECTED, end)
+    apply_late_end(context.scene, answers.MISDIRECTED, end)
     assert context.scene.endpoints.serving_endpoints(SERVICE)
 
 
 class NoGateway:
-    """Stands for a gateway whose engines must get no order."""
+    """A gateway whose engines must not get a memory request."""
 
     def __init__(self, endpoints):
         self.endpoints = endpoints
 
 
-@then("the memory of the earlier start counts no more")
+@then("the memory of the earlier incarnation no longer counts")
 def no_memory(context):
     gateway = NoGateway(context.scene.endpoints)
     share = tickets.Share(endpoint=context.scene.earlier, tokens=1_000)
--- a/features/steps/routedelta_steps.py
+++ b/features/steps/routedelta_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the changes between versions of the routes."""
+"""Steps on deltas between versions of the routes."""
 
 import attrs
 from behave import given
@@ -16,13 +16,13 @@
 
 
 def route(number: int) -> routes.Route:
-    """Return one of many routes."""
+    """Return a route with a prefix of its own."""
     first = gatewaybed.config().routes[0]
     return attrs.evolve(first, name=f"r{number}", prefix=f"/p{number}/")
 
 
 def without_listener():
-    """Return a gateway whose listener takes no limits."""
+    """Return a gateway whose listener ignores limits."""
     gateway = gatewaybed.Bed.without_sockets("g1")
     gateway.front.apply = lambda _limits: None
     return gateway
@@ -54,7 +54,7 @@
                 *old.routes[1:],
             )
         },
-        "takes a key away": {
+        "revokes a key": {
             "holders": (routes.KeyHolder(workspace="acme", keys=()),)
         },
         "changes the limits": {"limits": routes.CallerLimits(body_bytes=1)},
@@ -82,24 +82,24 @@
 
 
 def news(context) -> watching.News:
-    """Return what a gateway with the old version is told."""
-    whole, delta = context.store.news(context.old.version)
+    """Return the response to a gateway with the old version."""
+    snapshot, delta = context.store.news(context.old.version)
     return watching.News(
-        epoch="e", registry_mark=1, routes=whole, routes_delta=delta
+        epoch="e", registry_mark=1, routes=snapshot, routes_delta=delta
     )
 
 
-@then("it is told {how}, in at most {most:d} bytes")
-def told(context, how, most):
+@then("it is sent as a {form}, in at most {most:d} bytes")
+def sent_as(context, form, most):
     found = news(context)
-    assert (found.routes_delta is not None) == (how == "as changes")
+    assert (found.routes_delta is not None) == (form == "delta")
     assert not found.is_empty
     size = len(wirecalls.CALLS.encode(found))
     assert size <= most, size
 
 
-@then("a gateway that takes it has the next version in force")
-@then("a gateway that takes what is told has the next version in force")
+@then("a gateway that applies it has the next version in force")
+@then("a gateway that applies the update has the next version in force")
 def in_force(context):
     gateway = without_listener()
     gateway.view.adopt(context.old)
@@ -113,7 +113,7 @@
     )
 
 
-@when("a gateway {state} gets changes to the next version")
+@when("a gateway {state} gets a delta to the next version")
 def does_not_fit(context, state):
     context.gateway = without_listener()
     if state == "at another version":
@@ -128,16 +128,14 @@
     context.watch = watch
 
 
-@then("it keeps its version and asks for the whole one")
-def asks_whole(context):
+@then("it keeps its version and requests a snapshot")
+def requests_snapshot(context):
     assert not context.taken
     assert context.gateway.view.version == context.before
     assert context.watch.question().routes_version == routes.NO_VERSION
 
 
-@then(
-    "at most {most:d} versions are remembered and an old gateway gets it whole"
-)
-def remembered(context, most):
+@then("at most {most:d} versions are stored and an old gateway gets a snapshot")
+def bounded(context, most):
     assert len(context.store.recent) <= most
     assert news(context).routes is context.new
--- a/features/steps/unit_steps.py
+++ b/features/steps/unit_steps.py
@@ -180,7 +180,7 @@
     context.now = float(seconds)
 
 
-@then("the believed share of blocks a, b is {share:g}")
+@then("the assumed cached share of blocks a, b is {share:g}")
 def believed(context, share):
     found = context.index.cached_share("e", ("a", "b"), context.now)
     assert found == share, found
--- a/features/support/crashhistories.py
+++ b/features/support/crashhistories.py
@@ -412,7 +412,7 @@
     ),
     "crashes at once are counted one by one": (
         (crashledger.CrashLedger, "longest_sequence", counts_together),
-        lambda: convicts_nobody("a rack ends under a popular request"),
+        lambda: convicts_nobody("a rack crashes under a popular request"),
     ),
     "whoever was in flight is convicted": (
         (crashledger.CrashLedger, "is_culprit", convicts_everybody),
