--- a/src/_coltsfootroad/core/crashledger.py
+++ b/src/_coltsfootroad/core/crashledger.py
@@ -16,7 +16,8 @@
 # The same if other suspects were in flight at each of the crashes. An observer
 # may miss one crash in this many.
 MIN_CRASHES_AMBIGUOUS = 7
-# Crashes whose other suspects have all been answered that resolve an ambiguity.
+# Crashes that resolve an ambiguity if they had other suspects, all of which
+# have been answered since.
 MIN_SHARED_CRASHES = 2
 # Crashes that make a culprit whatever else was in flight.
 CONCLUSIVE_CRASHES = 8
@@ -66,13 +67,13 @@
         """
         found = [
             fingerprint
-            for fingerprint, held in self.suspected.items()
-            if len(held) >= CRASHES_TO_WATCH and fingerprint not in culprits
+            for fingerprint, crashed in self.suspected.items()
+            if len(crashed) >= CRASHES_TO_WATCH and fingerprint not in culprits
         ]
         return found[-MAX_WATCHED:]
 
     def has_new_evidence(self, earlier: float, now: float) -> bool:
-        """Return whether the newest crash is stronger evidence than earlier."""
+        """Return whether the newest crash is stronger evidence than before."""
         newest = next(reversed(self.known.values()), None)
         return newest is not None and any(
             earlier < newest.reported_at + wait_s <= now
@@ -101,8 +102,8 @@
         """Return the next culprit, None if there is none."""
         candidates = [
             fingerprint
-            for fingerprint, held in self.suspected.items()
-            if len(held) >= MIN_CRASHES and fingerprint not in culprits
+            for fingerprint, crashed in self.suspected.items()
+            if len(crashed) >= MIN_CRASHES and fingerprint not in culprits
         ]
         candidates.sort(key=lambda f: len(self.suspected[f]), reverse=True)
         for fingerprint in candidates:
@@ -117,21 +118,21 @@
         now: float,
     ) -> bool:
         """Return whether the evidence against a suspect suffices."""
-        held = self.suspected[fingerprint]
-        unexplained = self.unexplained(held, culprits, now)
+        crashed = self.suspected[fingerprint]
+        unexplained = self.unexplained(crashed, culprits, now)
         if not unexplained:
             return False
         count = self.longest_sequence(fingerprint, unexplained)
-        total = self.longest_sequence(fingerprint, held)
-        if count >= MIN_CRASHES_AMBIGUOUS or total >= CONCLUSIVE_CRASHES:
+        total_count = self.longest_sequence(fingerprint, crashed)
+        if count >= MIN_CRASHES_AMBIGUOUS or total_count >= CONCLUSIVE_CRASHES:
             return True
         if self.is_ambiguous(fingerprint, unexplained, now):
             return False
-        return count >= MIN_CRASHES or total >= MIN_CRASHES_WITH_CULPRITS
+        return count >= MIN_CRASHES or total_count >= MIN_CRASHES_WITH_CULPRITS
 
     def unexplained(
         self,
-        held: set[crashes.EndpointKey],
+        endpoints: set[crashes.EndpointKey],
         culprits: set[fingerprints.Fingerprint],
         now: float,
     ) -> set[crashes.EndpointKey]:
@@ -142,10 +143,10 @@
         """
         found = {
             endpoint
-            for endpoint in held
+            for endpoint in endpoints
             if culprits.isdisjoint(self.known[endpoint].suspects)
         }
-        if len(found) == len(held):
+        if len(found) == len(endpoints):
             return found
         return {e for e in found if self.known[e].is_complete(now)}
 
@@ -204,10 +205,10 @@
         A crash continues a sequence if the suspect was sent after the crash
         before. The weight is lower if the suspect had output at any crash.
         """
-        held = sorted((self.known[e] for e in endpoints), key=crash_time)
+        ordered = sorted((self.known[e] for e in endpoints), key=crash_time)
         count = 0
         last_crash = float("-inf")
-        for crash in held:
+        for crash in ordered:
             sent_at = crash.suspects[fingerprint].sent_at
             if sent_at >= last_crash - crashrecord.CLOCK_SLACK_S:
                 count += 1
--- a/src/_coltsfootroad/core/crashrecord.py
+++ b/src/_coltsfootroad/core/crashrecord.py
@@ -73,19 +73,19 @@
     ] = attrs.Factory(dict)
 
     def record(self, crash: crashes.Crash, now: float) -> None:
-        """Merge the report of one observer; idempotent."""
+        """Merge the report of one observer; a repeated report has no effect."""
         self.expire(now)
         if now - crash.at > EVIDENCE_WINDOW_S:
             return
-        found = self.known.setdefault(
+        merged = self.known.setdefault(
             crash.endpoint, KnownCrash(crash.at, reported_at=now)
         )
-        found.at = min(found.at, crash.at)
+        merged.at = min(merged.at, crash.at)
         for suspect in crash.suspects:
             if suspect.sent_at > crash.at + CLOCK_SLACK_S:
                 self.record_unknown_incarnation(crash.endpoint, suspect)
             else:
-                self.add_suspect(crash.endpoint, found, suspect)
+                self.add_suspect(crash.endpoint, merged, suspect)
         self.add_stopped(crash.endpoint)
         self.add_unknown_incarnation(crash.endpoint)
         while len(self.known) > MAX_CRASHES:
--- a/src/_coltsfootroad/core/dispatcher.py
+++ b/src/_coltsfootroad/core/dispatcher.py
@@ -76,7 +76,8 @@
             return wait_s + self.decode_s(request, pool)
         views = pool.sample(policies_lib.SAMPLE_SIZE, now)
         first = min(
-            (v.speed.prefill_s(v.ahead(band)) for v in views), default=0.0
+            (v.speed.prefill_s(v.tokens_ahead(band)) for v in views),
+            default=0.0,
         )
         return first + self.minimum_s(request, pool)
 
--- a/src/_coltsfootroad/core/endpoints.py
+++ b/src/_coltsfootroad/core/endpoints.py
@@ -94,7 +94,7 @@
     prompt_tokens: int
     kv_tokens: int
     sent_at: float
-    ahead: float
+    tokens_ahead: float
     predicted_s: float
     state: WorkState = WorkState.ACTIVE
     first_token_at: float | None = None
@@ -137,8 +137,8 @@
     @property
     def accepts(self) -> bool:
         """Return whether the endpoint takes new work."""
-        serving = self.announcement.state is registry.EndpointState.SERVING
-        return serving and not self.expired
+        is_serving = self.announcement.state is registry.EndpointState.SERVING
+        return is_serving and not self.expired
 
     @property
     def kv_free(self) -> int:
@@ -168,7 +168,7 @@
             self.backlog[band] -= drained
             budget -= drained
 
-    def ahead(self, band: int) -> float:
+    def tokens_ahead(self, band: int) -> float:
         """Return the prompt tokens to prefill before a new prompt of `band`."""
         tokens = sum(self.backlog[: band + 1])
         if self.has_longer_prompts(band):
@@ -224,16 +224,16 @@
     ) -> OwnWork:
         """Record a dispatch and add it to the backlog."""
         self.advance(now)
-        ahead = self.ahead(band)
+        tokens_ahead = self.tokens_ahead(band)
         self.last_mark += 1
-        predicted_s = self.speed.prefill_s(ahead + prompt_tokens)
+        predicted_s = self.speed.prefill_s(tokens_ahead + prompt_tokens)
         work = OwnWork(
             mark=self.last_mark,
             band=band,
             prompt_tokens=prompt_tokens,
             kv_tokens=kv_tokens,
             sent_at=now,
-            ahead=ahead,
+            tokens_ahead=tokens_ahead,
             predicted_s=predicted_s,
         )
         self.work[key] = work
@@ -263,7 +263,7 @@
             return None
         work.first_token_at = now
         self.speed.observe_prefill(
-            work.prompt_tokens, work.ahead, now - work.sent_at
+            work.prompt_tokens, work.tokens_ahead, now - work.sent_at
         )
         self.advance(now)
         return work
--- a/src/_coltsfootroad/core/endpointset.py
+++ b/src/_coltsfootroad/core/endpointset.py
@@ -105,7 +105,7 @@
         return AnnouncementResult.NEW
 
     def add_tombstone(self, name: str, incarnation: int) -> None:
-        """Record the end of an incarnation and remove it."""
+        """Record the end of an incarnation; remove it and earlier ones."""
         self.serving_by_service.clear()
         known = self.known.get(name)
         if known is not None and known.announcement.incarnation <= incarnation:
--- a/src/_coltsfootroad/core/engineplacement.py
+++ b/src/_coltsfootroad/core/engineplacement.py
@@ -29,18 +29,20 @@
 # counts as possible: parts of later prompts may be prefilled first.
 TARGET_MARGIN = 0.5
 # Costs are in units of the value of one short request.
-#
-# Using an idle engine for a short prompt takes it from the next long prompt.
+
+# Cost of using an idle engine for a short prompt, which takes the engine from
+# the next long prompt.
 IDLE_ENGINE_COST = 0.2
-# Each part; ties go to fewer parts.
+# Cost of each part, so that ties go to fewer parts.
 PART_COST = 0.01
-# Each request over the batch, as it waits for a whole answer.
+# Cost of a request over the batch, which waits for a whole answer.
 FULL_BATCH_COST = 3.0
-# The last slot of a batch: another gateway may use it in the milliseconds until
-# it learns of this choice, and one of the two requests then waits for a whole
-# answer.
+# Cost of the last slot of a batch: another gateway may use it in the
+# milliseconds until it learns of this choice, and one of the two requests then
+# waits for a whole answer.
 LAST_SLOT_COST = 0.05
-# Each pending request of an engine, which spreads late requests over engines.
+# Cost of each request that is queued on an engine, so that late requests are
+# spread over the engines.
 QUEUED_REQUEST_COST = 0.05
 # Tokens kept free on each engine that holds a part of a long prompt's KV cache,
 # for short prompts that arrive meanwhile.
@@ -49,10 +51,10 @@
 MEAN_STREAM_S = 2.0
 # Prompt tokens whose value equals that of one short request.
 TOKENS_PER_VALUE = 10_000
-# Each second of prefill that is queued on an engine, as it delays all requests
+# Cost of a second of queued prefill on an engine, as it delays all requests
 # that follow.
-QUEUED_PREFILL_COST = 6.0
-# Another availability zone; only breaks ties.
+QUEUED_PREFILL_COST_PER_S = 6.0
+# Cost of an engine in another availability zone; only breaks ties.
 CROSS_ZONE_COST = 0.005
 
 
@@ -70,7 +72,7 @@
         """Return the relative cost of a late answer to the caller.
 
         It grows with the length of the prompt: callers of long prompts have
-        waited longer and send more again.
+        waited longer and resend more.
         """
         return 1.0 + self.prompt_tokens / TOKENS_PER_VALUE
 
@@ -183,7 +185,8 @@
     """Return the helpers, with tokens, that hold what `lead` cannot.
 
     Returns None if they cannot hold all of it. Returns an empty tuple if the
-    whole KV cache fits into `lead`, which frees its own memory by itself.
+    whole KV cache fits into the total memory of `lead`, which frees its own
+    memory by itself.
     """
     needed = prompt.prompt_tokens + prompt.output_tokens
     if needed <= spec.kv_tokens - RESERVED_KV_TOKENS:
@@ -205,8 +208,8 @@
 ) -> float:
     """Return the seconds until an engine has prefilled its part and one pass.
 
-    A request over the batch first waits for others to end: one stream ends in
-    each `MEAN_STREAM_S` divided by the slots of the batch.
+    A request over the batch first waits for others to end. Of `slots` streams,
+    one ends every `MEAN_STREAM_S / slots` seconds.
     """
     queued = max(0, state.requests_ahead + 1 - spec.slots)
     wait_s = queued * MEAN_STREAM_S / spec.slots
@@ -215,10 +218,10 @@
 
 
 def prefill_cost(state: enginestate.EngineState, part_s: float) -> float:
-    """Return the cost of prefilling a part on an engine."""
+    """Return the cost of prefilling a part, for the streams of an engine."""
     cost = state.value_lost_by(state.slowdown * part_s) + PART_COST
     cost += 0.0 if state.in_gateway_zone else CROSS_ZONE_COST
-    return cost + QUEUED_PREFILL_COST * state.prefill_left_s
+    return cost + QUEUED_PREFILL_COST_PER_S * state.prefill_left_s
 
 
 def decode_cost(
--- a/src/_coltsfootroad/core/enginestate.py
+++ b/src/_coltsfootroad/core/enginestate.py
@@ -45,9 +45,10 @@
         kv_used: KV cache tokens that all its work needs at most.
         gap_s: Seconds of a pass without prefill.
         on_time: Streams whose gap target is at least `gap_s`.
-        protected: Streams of those that the pending prefill leaves on time.
+        protected: Those of `on_time` that the pending prefill does not delay
+            beyond their gap target.
         prefilling: Requests that it will decode after their prefill.
-        prefilling_protected: Requests of those that have a gap target.
+        prefilling_protected: Those of `prefilling` with a gap target.
     """
 
     endpoint: str
--- a/src/_coltsfootroad/core/grouping.py
+++ b/src/_coltsfootroad/core/grouping.py
@@ -116,7 +116,7 @@
     view: endpoints.EndpointView, band: int, pool: pool_lib.ServicePool
 ) -> tuple:
     """Return the sort key of an engine: wait, kind, shared rank."""
-    waiting_s = view.speed.prefill_s(view.ahead(band))
+    waiting_s = view.speed.prefill_s(view.tokens_ahead(band))
     rank = pool_lib.fleet_rank(pool.service, view.name)
     return (round(waiting_s, 1), view.is_short_only(), rank)
 
@@ -138,5 +138,7 @@
         )
         for index, view in enumerate(views)
     )
-    slowest = max(v.speed.prefill_s(v.ahead(band) + tokens) for v in views)
+    slowest = max(
+        v.speed.prefill_s(v.tokens_ahead(band) + tokens) for v in views
+    )
     return GroupPlan(parts=parts, predicted_s=slowest)
--- a/src/_coltsfootroad/core/outliers.py
+++ b/src/_coltsfootroad/core/outliers.py
@@ -65,11 +65,11 @@
         """
         health = self.health.setdefault(endpoint, Health())
         health.refusals += 1
-        pause_s = min(
+        backoff_s = min(
             MAX_REFUSED_BACKOFF_S,
             REFUSED_BACKOFF_S * 2 ** (health.refusals - 1),
         )
-        health.backoff_until = now + pause_s
+        health.backoff_until = now + backoff_s
 
     def on_failure(self, endpoint: str, now: float) -> None:
         """Record a failed attempt."""
@@ -101,8 +101,8 @@
         if ejected_count + 1 > MAX_EJECTED_SHARE * len(self.health):
             return False
         health.ejections += 1
-        pause_s = min(MAX_EJECT_S, EJECT_S * 2 ** (health.ejections - 1))
-        health.ejected_until = now + pause_s
+        ejection_s = min(MAX_EJECT_S, EJECT_S * 2 ** (health.ejections - 1))
+        health.ejected_until = now + ejection_s
         health.returned_at = health.ejected_until
         health.failures = 0
         health.samples = 0
--- a/src/_coltsfootroad/core/policies.py
+++ b/src/_coltsfootroad/core/policies.py
@@ -73,10 +73,10 @@
 
 def uncached_choice(view, request, band=0) -> Choice:
     """Return the choice of an endpoint, assuming no cached prefix."""
-    ahead = view.ahead(band)
+    tokens_ahead = view.tokens_ahead(band)
     return Choice(
         endpoint=view.name,
-        predicted_s=view.speed.prefill_s(ahead + request.prompt_tokens),
+        predicted_s=view.speed.prefill_s(tokens_ahead + request.prompt_tokens),
         prompt_tokens=request.prompt_tokens,
     )
 
@@ -222,7 +222,7 @@
             view.name, request.prefix_hashes, now
         )
         tokens = max(1, round(request.prompt_tokens * (1 - cached)))
-        waiting_s = view.speed.prefill_s(view.ahead(band))
+        waiting_s = view.speed.prefill_s(view.tokens_ahead(band))
         predicted_s = waiting_s + view.speed.prefill_s(tokens)
         cost = predicted_s * pool.outliers.slow_start_factor(view.name, now)
         choice = Choice(
--- a/src/_coltsfootroad/core/relaychoice.py
+++ b/src/_coltsfootroad/core/relaychoice.py
@@ -68,7 +68,7 @@
         return address
 
     def first_available(self, now: float) -> str:
-        """Return the first address without backoff, else the next one."""
+        """Return the first address whose backoff has ended or ends first."""
         ranked_addresses = self.ranked_addresses()
         for address in ranked_addresses:
             if self.backoff_until.get(address, now) <= now:
--- a/src/_coltsfootroad/core/roster.py
+++ b/src/_coltsfootroad/core/roster.py
@@ -23,17 +23,20 @@
         name = announcement.endpoint
         view = self.core.view(name)
         if view is not None:
-            same = announcement == view.announcement
-            newer = registry.is_newer(announcement, view.announcement)
-            if not newer and not (same and view.expired):
+            is_same = announcement == view.announcement
+            is_newer = registry.is_newer(announcement, view.announcement)
+            if not is_newer and not (is_same and view.expired):
                 return
             view.expired = False
-            old = view.announcement
-            restarted = announcement.incarnation > old.incarnation
-            if restarted or announcement.state is registry.EndpointState.GONE:
+            previous = view.announcement
+            has_restarted = announcement.incarnation > previous.incarnation
+            if (
+                has_restarted
+                or announcement.state is registry.EndpointState.GONE
+            ):
                 self.fail_attempts(view, now)
-            elif old.state is registry.EndpointState.LEAVING:
-                announcement = attrs.evolve(announcement, state=old.state)
+            elif previous.state is registry.EndpointState.LEAVING:
+                announcement = attrs.evolve(announcement, state=previous.state)
         if announcement.state is registry.EndpointState.GONE:
             self.drop_endpoint(name, now)
             return
