--- a/features/core/choice.feature
+++ b/features/core/choice.feature
@@ -1,25 +1,25 @@
 Feature: The cost of choosing engines does not grow with the fleet
 
   Scenario: The index by endpoint holds the work of all gateways
-    Then after random histories of own and others' work the index is consistent
+    Then after random histories of own and others' work the index holds all work
 
   Scenario: Cached states of engines equal newly computed ones
     Then after random histories cached and new states lead to the same choice
 
   Scenario Outline: A <length> prompt compares at least <some> of <idle> idle engines among <all>
-    Given <all> engines, <idle> of them idle and <reading> prefilling
+    Given <all> engines, <idle> of them idle and <prefilling> prefilling
     When candidates are selected for a <length> prompt
     Then at least <some> idle engines are compared, at most <most> engines in all
 
     Examples:
-      | all  | idle | reading | length | some | most |
-      | 20   | 2    | 10      | long   | 2    | 40   |
-      | 20   | 20   | 0       | short  | 1    | 24   |
-      | 112  | 112  | 0       | long   | 20   | 40   |
-      | 112  | 8    | 60      | long   | 8    | 40   |
-      | 112  | 0    | 112     | long   | 0    | 40   |
-      | 1000 | 300  | 500     | long   | 15   | 40   |
-      | 1000 | 300  | 0       | short  | 4    | 24   |
+      | all  | idle | prefilling | length | some | most |
+      | 20   | 2    | 10         | long   | 2    | 40   |
+      | 20   | 20   | 0          | short  | 1    | 24   |
+      | 112  | 112  | 0          | long   | 20   | 40   |
+      | 112  | 8    | 60         | long   | 8    | 40   |
+      | 112  | 0    | 112        | long   | 0    | 40   |
+      | 1000 | 300  | 500        | long   | 15   | 40   |
+      | 1000 | 300  | 0          | short  | 4    | 24   |
 
   Scenario: A short prompt finds the few engines that only decode
     Given 1000 engines, 0 of them idle and 700 prefilling
--- a/features/core/crashledger.feature
+++ b/features/core/crashledger.feature
@@ -103,10 +103,10 @@
 
     Examples:
       | answered          | culprits |
-      | nobody            | nothing |
-      | other             | nothing |
-      | popular           | poison  |
-      | other and popular | poison  |
+      | nobody            | nothing  |
+      | other             | nothing  |
+      | popular           | poison   |
+      | other and popular | poison   |
 
   # Guards against a suspect that is counted at a crash before its send and not at
   # the next one, where a popular request then is the only suspect.
--- a/features/steps/choice_steps.py
+++ b/features/steps/choice_steps.py
@@ -167,7 +167,7 @@
         return found
 
 
-@then("after random histories of own and others' work the index is consistent")
+@then("after random histories of own and others' work the index holds all work")
 def same_by_endpoint(context):
     @QUIET
     @drawn(ACTIONS)
@@ -250,14 +250,14 @@
 @when("candidates are selected for a {length} prompt")
 def picked(context, length):
     limits = candidates.DEFAULT_LIMITS
-    places = limits.short if length == "short" else limits.long
+    candidate_counts = limits.short if length == "short" else limits.long
     sampled = candidates.sample_endpoints(
         context.endpoints.serving_endpoints("s"), 10.0, set(), random.Random(3)
     )
     context.picked = candidates.select_candidates(
-        sampled, context.load.index, places, "z0", SPEC.slots
+        sampled, context.load.index, candidate_counts, "z0", SPEC.slots
     )
-    names = [one.name for one in context.picked]
+    names = [endpoint.name for endpoint in context.picked]
     assert len(set(names)) == len(names), names
 
 
@@ -272,9 +272,9 @@
 )
 def compared(context, some, most):
     idle = [
-        one
-        for one in context.picked
-        if not context.load.index.at(one.name).works
+        endpoint
+        for endpoint in context.picked
+        if not context.load.index.at(endpoint.name).works
     ]
     assert len(idle) >= some, len(idle)
     assert len(context.picked) <= most, len(context.picked)
@@ -283,9 +283,9 @@
 @then("at least {count:d} engines without prefill are compared")
 def without_prefill(context, count):
     found = [
-        one
-        for one in context.picked
-        if not context.load.index.at(one.name).is_prefilling
+        endpoint
+        for endpoint in context.picked
+        if not context.load.index.at(endpoint.name).is_prefilling
     ]
     assert len(found) >= count, len(found)
 
@@ -294,7 +294,9 @@
     "at least {near:d} of them are in its zone and at least {far:d} in others"
 )
 def in_and_outside_zone(context, near, far):
-    zones = [one.announcement.availability_zone for one in context.picked]
+    zones = [
+        endpoint.announcement.availability_zone for endpoint in context.picked
+    ]
     assert zones.count("z0") >= near, zones
     assert len(zones) - zones.count("z0") >= far, zones
 
@@ -332,7 +334,7 @@
     assert lent + SPEC.kv_tokens >= 1_000_800, lent
 
 
-# --- herds -----------------------------------------------------------------
+# --- returning engines -----------------------------------------------------
 
 
 @given("{count:d} engines that all decode")
--- a/src/_coltsfootroad/core/entry.py
+++ b/src/_coltsfootroad/core/entry.py
@@ -80,7 +80,7 @@
     dispatcher: dispatcher_lib.Dispatcher = attrs.field(init=False)
     attempts: attempts_lib.Attempts = attrs.field(init=False)
     roster: roster_lib.Roster = attrs.field(init=False)
-    syncing: syncing_lib.Syncing = attrs.field(init=False)
+    syncing: syncing_lib.EntrySync = attrs.field(init=False)
     output_shares: dict[str, admission.OutputShare] = attrs.Factory(dict)
 
     def __attrs_post_init__(self):
@@ -88,7 +88,7 @@
         self.dispatcher = dispatcher_lib.Dispatcher(self)
         self.attempts = attempts_lib.Attempts(self)
         self.roster = roster_lib.Roster(self)
-        self.syncing = syncing_lib.Syncing(self)
+        self.syncing = syncing_lib.EntrySync(self)
 
     @property
     def owner(self) -> str:
@@ -255,7 +255,7 @@
         now: float,
     ) -> list[actions.Action]:
         """Take the leader's answer to a heartbeat sent at `asked_at`."""
-        self.syncing.take(request, reply, asked_at, now)
+        self.syncing.apply_reply(request, reply, asked_at, now)
         return self.flush()
 
     # --- endpoints -------------------------------------------------------
--- a/src/_coltsfootroad/core/syncing.py
+++ b/src/_coltsfootroad/core/syncing.py
@@ -16,7 +16,7 @@
 
 
 @attrs.define
-class Syncing(hosts.Hurrying):
+class EntrySync(hosts.Hurrying):
     """The part of the entry core that exchanges heartbeats with the leader.
 
     Attributes:
@@ -85,7 +85,7 @@
             self.early_heartbeat_at = now
             self.wants_sync = True
 
-    def take(
+    def apply_reply(
         self,
         request: messages.SyncRequest,
         reply: messages.SyncReply,
