--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -264,7 +264,7 @@
             is_retry=arrival.tries > 0,
         )
         retry_delay_s = shedding.shed_retry_after_s(
-            candidate, choice.late_waiting, choice.places, self.rng
+            candidate, choice.late_waiting, choice.batch_slots, self.rng
         )
         if retry_delay_s is not None:
             return retry_delay_s
--- a/features/steps/backlog_steps.py
+++ b/features/steps/backlog_steps.py
@@ -63,11 +63,11 @@
 
     def request(self) -> watching.Watch:
         """Return the next request."""
-        return self.watch.question()
+        return self.watch.next_request()
 
     def receive(self, request, news) -> None:
         """Handle the response to a request."""
-        self.watch.take(request, news, NOW_S)
+        self.watch.apply_response(request, news, NOW_S)
 
 
 SUBJECTS = {"relay": RelaySubject, "gateway": GatewaySubject}
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -213,7 +213,9 @@
             await asyncio.sleep(early)
             bed.gateway.view.table = known
             settled = what == "the routes and endpoints"
-            start_up.on_news(60.0 if settled else 0.0, clocks.boot_time())
+            start_up.record_registry_age(
+                60.0 if settled else 0.0, clocks.boot_time()
+            )
             if what == "the routes, 0.4 s later an endpoint":
                 await asyncio.sleep(0.4)
                 bed.announce(endpoint)
--- a/features/steps/promises_steps.py
+++ b/features/steps/promises_steps.py
@@ -229,7 +229,7 @@
         )
         await asyncio.sleep(held)
         bed.gateway.adopt(known)
-        bed.gateway.start_up.on_news(0.3, clocks.boot_time())
+        bed.gateway.start_up.record_registry_age(0.3, clocks.boot_time())
         context.answer = await asking
 
     gateway_steps.play(context, story)
--- a/features/steps/proofs_steps.py
+++ b/features/steps/proofs_steps.py
@@ -53,8 +53,10 @@
 
     def receive(self, requested: int, reply: watching.News) -> None:
         """Apply a response to a request from a given version."""
-        question = attrs.evolve(self.watch.question(), routes_version=requested)
-        self.watch.take(question, reply, REQUESTED_AT_S)
+        poll_request = attrs.evolve(
+            self.watch.next_request(), routes_version=requested
+        )
+        self.watch.apply_response(poll_request, reply, REQUESTED_AT_S)
 
     @property
     def version(self) -> int:
@@ -69,7 +71,7 @@
     @property
     def next_base_version(self) -> int:
         """Return the version from which the next request asks for changes."""
-        return self.watch.question().routes_version
+        return self.watch.next_request().routes_version
 
 
 class RelayWatcher:
@@ -288,8 +290,8 @@
     ),
     "a gateway confirms its version when a delta does not fit": (
         watch_lib.Watch,
-        "take_routes",
-        accepts_unfit_delta(watch_lib.Watch.take_routes),
+        "apply_routes",
+        accepts_unfit_delta(watch_lib.Watch.apply_routes),
         lambda: check_unfit_delta("gateway"),
     ),
     "a deposed leader confirms its routes when it steps down": (
--- a/features/steps/routedelta_steps.py
+++ b/features/steps/routedelta_steps.py
@@ -107,7 +107,7 @@
         wireformats.CALLS.encode(news(context))
     ).ok
     watch = watch_lib.Watch(gateway)
-    assert watch.take_routes(watch.question(), decoded)
+    assert watch.apply_routes(watch.next_request(), decoded)
     config = gateway.view.table.config
     assert set(config.routes) == set(context.new.routes)
     assert attrs.evolve(config, routes=()) == attrs.evolve(
@@ -123,8 +123,8 @@
     context.before = context.gateway.view.version
     delta = routedelta.RouteDelta(base=5, version=6)
     watch = watch_lib.Watch(context.gateway)
-    context.taken = watch.take_routes(
-        watch.question(),
+    context.taken = watch.apply_routes(
+        watch.next_request(),
         watching.News(epoch="e", registry_mark=1, routes_delta=delta),
     )
     context.watch = watch
@@ -134,7 +134,7 @@
 def requests_snapshot(context):
     assert not context.taken
     assert context.gateway.view.version == context.before
-    assert context.watch.question().routes_version == routes.NO_VERSION
+    assert context.watch.next_request().routes_version == routes.NO_VERSION
 
 
 @then("at most {most:d} versions are stored and an old gateway gets a snapshot")
--- a/features/steps/startshare_steps.py
+++ b/features/steps/startshare_steps.py
@@ -18,11 +18,11 @@
 
 
 @then(
-    "each of {gateways:d} gateways that know {places:d} batch slots"
+    "each of {gateways:d} gateways that know {slots:d} batch slots"
     " sends {prompts:d}"
 )
-def each_sends(context, gateways, places, prompts):
-    found = startuplimit.max_prompts(places, gateways)
+def each_sends(context, gateways, slots, prompts):
+    found = startuplimit.max_prompts(slots, gateways)
     assert found == prompts, found
 
 
@@ -51,7 +51,7 @@
                 choice_steps.SERVICE, choice_steps.prompt_of(5_000), set(), 10.0
             )
             max_prompts = startuplimit.max_prompts(
-                choice.places, context.gateways
+                choice.batch_slots, context.gateways
             )
             if load.count_own_prompts() >= max_prompts:
                 break
--- a/src/_coltsfootroad/gateway/admission.py
+++ b/src/_coltsfootroad/gateway/admission.py
@@ -60,7 +60,7 @@
         workspace: Workspace of the request's key, empty for public routes.
         deadline: Boot clock seconds by which the response is due.
         prompt: Size of the prompt, None for plain requests.
-        returned: Whether the caller seems to have spent time on an earlier try.
+        is_retry: Whether the caller seems to have spent time on an earlier try.
     """
 
     route: routes.Route
--- a/src/_coltsfootroad/gateway/crashreporter.py
+++ b/src/_coltsfootroad/gateway/crashreporter.py
@@ -13,13 +13,13 @@
 from _coltsfootroad.core import fingerprints
 from _coltsfootroad.core import isolation as isolation_lib
 from _coltsfootroad.core import quarantine
-from _coltsfootroad.gateway import leaderlink
+from _coltsfootroad.gateway import leaderclient
 from _coltsfootroad.shell import clocks
 from _coltsfootroad.shell import logs
 
 LOG = logs.logger("crash")
 # Crashes that are retained to be reported again to a new leader.
-MAX_KEPT = 256
+MAX_STORED_CRASHES = 256
 RETRY_PAUSE_S = 0.2
 
 
@@ -42,7 +42,7 @@
     """
 
     gateway: str
-    link: leaderlink.LeaderLink
+    link: leaderclient.LeaderClient
     isolation: isolation_lib.Isolation
     recent: dict[crashes.EndpointKey, crashes.Crash] = attrs.Factory(dict)
     unsent: dict[crashes.EndpointKey, None] = attrs.Factory(dict)
@@ -61,7 +61,7 @@
             crash = attrs.evolve(crash, suspects=latest)
         self.recent[crash.endpoint] = crash
         self.unsent[crash.endpoint] = None
-        while len(self.recent) > MAX_KEPT:
+        while len(self.recent) > MAX_STORED_CRASHES:
             dropped = next(iter(self.recent))
             del self.recent[dropped]
             self.unsent.pop(dropped, None)
@@ -71,7 +71,7 @@
     def report_stopped(self, stop: crashes.Crash) -> None:
         """Report a send that the quarantine stopped at an endpoint."""
         self.stopped.append(stop)
-        del self.stopped[:-MAX_KEPT]
+        del self.stopped[:-MAX_STORED_CRASHES]
         self.start_sending()
 
     def report_again(self) -> None:
--- a/src/_coltsfootroad/gateway/directory.py
+++ b/src/_coltsfootroad/gateway/directory.py
@@ -12,7 +12,7 @@
 # frozen gateway costs its callers a second for each connection until they
 # refresh the addresses, and with two gateways, it affects half of a zone.
 MIN_ADDRESSES = 4
-SPREAD_KEY = "directory"
+HASH_KEY_PREFIX = "directory"
 MAX_ADDRESSES = 64
 MAX_QUERY_BODY = 1024
 
@@ -24,7 +24,9 @@
     local = [m for m in members if m.availability_zone == zone]
     remote = [m for m in members if m.availability_zone != zone]
     # Zones that need remote gateways choose different ones.
-    remote.sort(key=lambda m: hashing.stable_hash(m.entry, SPREAD_KEY + zone))
+    remote.sort(
+        key=lambda m: hashing.stable_hash(m.entry, HASH_KEY_PREFIX + zone)
+    )
     chosen = local + remote[: max(0, MIN_ADDRESSES - len(local))]
     return tuple(member.address for member in chosen[:MAX_ADDRESSES])
 
--- a/src/_coltsfootroad/gateway/engines.py
+++ b/src/_coltsfootroad/gateway/engines.py
@@ -28,7 +28,7 @@
         cost: Cost of the placement, lower is better.
         load: Work items in flight at the endpoint.
         late_waiting: Requests of the service that wait past their target.
-        places: Batch slots of all endpoints of the service.
+        batch_slots: Batch slots of all endpoints of the service.
     """
 
     endpoint: endpointset.KnownEndpoint
@@ -38,7 +38,7 @@
     cost: float = 0.0
     load: int = 0
     late_waiting: int = 0
-    places: int = 0
+    batch_slots: int = 0
 
 
 @attrs.define
@@ -51,10 +51,10 @@
     rng: random.Random
     isolation: isolation_lib.Isolation = attrs.Factory(isolation_lib.Isolation)
     limits: candidates.CandidateLimits = candidates.DEFAULT_LIMITS
-    book: enginestatecache.EngineStateCache = attrs.field(init=False)
+    state_cache: enginestatecache.EngineStateCache = attrs.field(init=False)
 
     def __attrs_post_init__(self):
-        self.book = enginestatecache.EngineStateCache(
+        self.state_cache = enginestatecache.EngineStateCache(
             self.load.index, self.availability_zone
         )
 
@@ -85,7 +85,7 @@
 
     def least_loaded(self, sampled: list[endpointset.KnownEndpoint]) -> Choice:
         """Return the endpoint with the least work, the first one on a tie."""
-        loads = [len(self.book.current_work(known)) for known in sampled]
+        loads = [len(self.state_cache.current_work(known)) for known in sampled]
         least = min(loads)
         return Choice(endpoint=sampled[loads.index(least)], load=least)
 
@@ -99,15 +99,17 @@
         """Return the engines with the lowest cost for a prompt."""
         engine = spec.engine
         is_long = engineplacement.may_split(prompt)
-        places = self.limits.long if is_long else self.limits.short
+        candidate_counts = self.limits.long if is_long else self.limits.short
         picked = candidates.select_candidates(
             sampled,
             self.load.index,
-            places,
+            candidate_counts,
             self.availability_zone,
             engine.slots,
         )
-        states = [self.book.state(known, engine, now) for known in picked]
+        states = [
+            self.state_cache.state(known, engine, now) for known in picked
+        ]
         placement = engineplacement.place(prompt, states, engine)
         if placement is None:
             return None
@@ -124,9 +126,9 @@
             ),
             predicted_s=placement.first_event_s,
             cost=placement.cost,
-            load=len(self.book.current_work(lead)),
+            load=len(self.state_cache.current_work(lead)),
             late_waiting=self.late_waiting(spec.name),
-            places=engine.slots
+            batch_slots=engine.slots
             * len(self.endpoints.serving_endpoints(spec.name)),
         )
 
--- a/src/_coltsfootroad/gateway/exchange.py
+++ b/src/_coltsfootroad/gateway/exchange.py
@@ -165,7 +165,7 @@
             return choice.load < choice.endpoint.announcement.max_running
         gateways = len(self.gateway.view.rotation.current())
         if self.gateway.load.count_own_prompts() >= startuplimit.max_prompts(
-            choice.places, gateways
+            choice.batch_slots, gateways
         ):
             return False
         return choice.predicted_s <= self.route.target_s
@@ -222,7 +222,7 @@
             is_retry=self.admitted.is_retry,
         )
         return shedding.shed_retry_after_s(
-            candidate, choice.late_waiting, choice.places, self.gateway.rng
+            candidate, choice.late_waiting, choice.batch_slots, self.gateway.rng
         )
 
     def choose(self, now: float) -> engines.Choice | None:
@@ -274,7 +274,7 @@
             self.guard.send_timeout = None
             watchdog.stop()
 
-    def reserve_switch(self) -> bool:
+    def reserve_failover(self) -> bool:
         """Reserve a retry on another endpoint; return whether that succeeded.
 
         The retry is reserved before the current send is cancelled. Without
@@ -452,7 +452,7 @@
             admission.refusal(
                 errors.ErrorCode.QUEUE_FULL,
                 f"{choice.late_waiting} late requests wait at"
-                f" {choice.places} places, the first event is predicted"
+                f" {choice.batch_slots} places, the first event is predicted"
                 f" after {choice.predicted_s:.2f} s",
                 retry_after_s,
             )
--- a/src/_coltsfootroad/gateway/gossip.py
+++ b/src/_coltsfootroad/gateway/gossip.py
@@ -30,7 +30,7 @@
 # it saves two datagrams in three. A call that ends earlier is not sent at all.
 LAZY_COALESCE_S = 0.025
 # Full summaries are sent this often, so that receivers can distinguish an idle
-# sender from a dead one within `workload.BELIEF_S`.
+# sender from a dead one within `workload.GATEWAY_TIMEOUT_S`.
 FULL_SUMMARY_INTERVAL_S = 0.8
 # Limit of changes in a datagram: 60 bytes each, 65,000 bytes in all.
 MAX_CHANGES = 800
--- a/src/_coltsfootroad/gateway/leaderlink.py
+++ b/src/_coltsfootroad/gateway/leaderclient.py
@@ -10,7 +10,7 @@
 CALL_TIMEOUT_S = 0.5
 
 
-class LeaderLink:
+class LeaderClient:
     """Finds and calls the leader, following redirects from known processes."""
 
     def __init__(self, gateway):
--- a/src/_coltsfootroad/gateway/quarantine.py
+++ b/src/_coltsfootroad/gateway/quarantine.py
@@ -13,7 +13,7 @@
 from _coltsfootroad.core import errors
 from _coltsfootroad.core import fingerprints
 from _coltsfootroad.core import quarantine as quarantine_lib
-from _coltsfootroad.gateway import leaderlink
+from _coltsfootroad.gateway import leaderclient
 from _coltsfootroad.shell import clocks
 from _coltsfootroad.shell import logs
 
@@ -22,7 +22,7 @@
 NO_TRIAL_RETRY_S = 600.0
 MIN_RETRY_S = 1.0
 RELEASE_RETRY_S = 0.5
-RELEASE_TRIES = 20
+MAX_RELEASE_ATTEMPTS = 20
 
 
 @attrs.define(eq=False)
@@ -40,7 +40,7 @@
     """
 
     gateway: str
-    link: leaderlink.LeaderLink
+    link: leaderclient.LeaderClient
     running: Callable[[], Iterable]
     on_ended: Callable[[fingerprints.Fingerprint], object]
     view: quarantine_lib.QuarantineView = attrs.Factory(
@@ -105,7 +105,7 @@
         message = crashreports.EndQuarantine(
             fingerprint=fingerprint, reason="its trial was answered"
         )
-        for _ in range(RELEASE_TRIES):
+        for _ in range(MAX_RELEASE_ATTEMPTS):
             answer = await self.link.call(message)
             if isinstance(answer, outcomes.Done | outcomes.Refused):
                 LOG.info("trial passed", fingerprint=fingerprint.text)
--- a/src/_coltsfootroad/gateway/reply.py
+++ b/src/_coltsfootroad/gateway/reply.py
@@ -56,9 +56,9 @@
         if "Content-Length" in kept:
             # Another endpoint may have to complete the stream.
             del kept["Content-Length"]
-        self.write_head(status, reason, kept)
+        self.write_headers(status, reason, kept)
 
-    def pass_events(self, events: list[eventstream.Event]):
+    def forward_events(self, events: list[eventstream.Event]):
         """Forward complete events, each event ID once."""
         data = b""
         for event in events:
@@ -85,7 +85,7 @@
             self.longest_pause_s = max(self.longest_pause_s, pause_s)
         self.last_event_at = now
 
-    def write_head(self, status: int, reason: str, headers, body=None):
+    def write_headers(self, status: int, reason: str, headers, body=None):
         """Write status and headers; announce if the connection will close."""
         if self.gateway.closes_connections():
             headers["Connection"] = "close"
@@ -101,7 +101,7 @@
             body = b"".join(sink.parts)
             headers = end_to_end_headers(sink.headers)
             headers["Content-Length"] = str(len(body))
-            self.write_head(sink.status, sink.reason, headers, body)
+            self.write_headers(sink.status, sink.reason, headers, body)
         self.finish()
         self.gateway.record_response(
             sink.status, clocks.boot_time() - self.arrived_at
@@ -157,7 +157,7 @@
                 f"{failure.retry_after_s:g}"
             )
         status = failure.http_status
-        self.write_head(status, reason_phrase(status), headers, body)
+        self.write_headers(status, reason_phrase(status), headers, body)
         self.finish()
         self.gateway.record_failure(failure.code.value)
 
--- a/src/_coltsfootroad/gateway/responses.py
+++ b/src/_coltsfootroad/gateway/responses.py
@@ -91,7 +91,7 @@
         if not self.is_stream():
             self.parts.append(data)
             return None
-        return self.reply.pass_events(self.splitter.feed(data))
+        return self.reply.forward_events(self.splitter.feed(data))
 
     def is_body_complete(self):
         """Return whether no partial event is left."""
--- a/src/_coltsfootroad/gateway/retryborrower.py
+++ b/src/_coltsfootroad/gateway/retryborrower.py
@@ -8,7 +8,7 @@
 from _coltsfootroad.control import retrylending
 from _coltsfootroad.core import retryloans
 from _coltsfootroad.core import windowbudget
-from _coltsfootroad.gateway import leaderlink
+from _coltsfootroad.gateway import leaderclient
 from _coltsfootroad.shell import clocks
 from _coltsfootroad.shell import logs
 
@@ -47,7 +47,7 @@
     """
 
     gateway: str
-    link: leaderlink.LeaderLink
+    link: leaderclient.LeaderClient
     rng: random.Random
     spawn: Callable[[object], None]
     services: dict[str, BorrowState] = attrs.Factory(dict)
--- a/src/_coltsfootroad/gateway/server.py
+++ b/src/_coltsfootroad/gateway/server.py
@@ -21,7 +21,7 @@
 from _coltsfootroad.gateway import engines
 from _coltsfootroad.gateway import front as front_lib
 from _coltsfootroad.gateway import gossip as gossip_lib
-from _coltsfootroad.gateway import leaderlink
+from _coltsfootroad.gateway import leaderclient
 from _coltsfootroad.gateway import quarantine
 from _coltsfootroad.gateway import retryborrower
 from _coltsfootroad.gateway import startup
@@ -58,7 +58,7 @@
 
 
 class Gateway:
-    """Forwards requests according to the routes in force."""
+    """Forwards requests according to the newest known routes."""
 
     def __init__(
         self,
@@ -109,7 +109,7 @@
         self.front = front_lib.Front(self)
         self.gossip = gossip_lib.Gossip(self)
         self.watch = watch_lib.Watch(self)
-        link = leaderlink.LeaderLink(self)
+        link = leaderclient.LeaderClient(self)
         self.crash_reporter = crashreporter.CrashReporter(
             settings.gateway, link, self.isolation
         )
--- a/src/_coltsfootroad/gateway/startup.py
+++ b/src/_coltsfootroad/gateway/startup.py
@@ -39,7 +39,7 @@
     """Holds requests until routes and endpoints are known, for a limited time.
 
     Attributes:
-        view: The routes in force.
+        view: The newest known routes and their proof of freshness.
         registry_since: Boot clock seconds since when the leader has received
             announcements, None before the first response to a poll.
         done: Whether requests need no longer be held; stays true.
@@ -51,7 +51,7 @@
     done: bool = False
     held: int = 0
 
-    def on_news(self, registry_age_s: float, now: float) -> None:
+    def record_registry_age(self, registry_age_s: float, now: float) -> None:
         """Record for how long the leader has received announcements."""
         self.registry_since = now - registry_age_s
 
--- a/src/_coltsfootroad/gateway/watch.py
+++ b/src/_coltsfootroad/gateway/watch.py
@@ -116,14 +116,14 @@
         if address != before:
             LOG.info("polls", address=address, before=before)
         # A proof counts from the request, even if the response is held back.
-        request = self.question()
+        request = self.next_request()
         answer = await self.channels.call(
             address, request, request.wait_s + POLL_TRANSIT_S
         )
         response = answer.ok if answer.is_ok() else None
         if isinstance(response, watching.News):
             self.log_connection_change(True, address)
-            self.take(request, response, requested_at)
+            self.apply_response(request, response, requested_at)
             return True
         now = clocks.boot_time()
         if isinstance(response, watching.AskElsewhere):
@@ -135,7 +135,7 @@
         self.log_connection_change(False, f"{address}: {reason}")
         return False
 
-    def question(self) -> watching.Watch:
+    def next_request(self) -> watching.Watch:
         """Return the next poll request."""
         return watching.Watch(
             member=self.member(),
@@ -181,7 +181,7 @@
             LOG.info(text, detail=detail, version=self.gateway.view.version)
         self.connected = connected
 
-    def take(
+    def apply_response(
         self, request: watching.Watch, news: watching.News, requested_at: float
     ) -> None:
         """Apply the response to a poll."""
@@ -206,7 +206,7 @@
         self.learn_relays(changes.relays)
         for name in changes.lost_relays:
             self.choice.forget(name)
-        self.take_endpoints(changes)
+        self.apply_endpoints(changes)
         gateway.quarantine.learn(changes)
         gateway.crash_reporter.watch(changes)
         gateway.view.member_view.learn(
@@ -215,11 +215,13 @@
             changes.whole,
             0.0 if changes.more else news.registry_age_s,
         )
-        if not self.take_routes(request, news):
+        if not self.apply_routes(request, news):
             return
         gateway.view.confirm(requested_at - news.proof_age_s)
         gateway.update_slack_share()
-        gateway.start_up.on_news(news.registry_age_s, clocks.boot_time())
+        gateway.start_up.record_registry_age(
+            news.registry_age_s, clocks.boot_time()
+        )
         if news.proof_age_s > relaychoice.MAX_RELAY_PROOF_AGE_S:
             now = clocks.boot_time()
             LOG.info(
@@ -236,7 +238,7 @@
                 relay.name, relay.address, relay.availability_zone
             )
 
-    def take_endpoints(self, changes: watching.Changes) -> None:
+    def apply_endpoints(self, changes: watching.Changes) -> None:
         """Apply changes of endpoints."""
         gateway = self.gateway
         for announcement in changes.announcements:
@@ -247,7 +249,9 @@
         for announcement in changes.left:
             gateway.learn_endpoint(announcement)
 
-    def take_routes(self, request: watching.Watch, news: watching.News) -> bool:
+    def apply_routes(
+        self, request: watching.Watch, news: watching.News
+    ) -> bool:
         """Apply newer routes; return whether the held ones are current."""
         gateway = self.gateway
         received = self.route_sync.receive(
--- a/src/_coltsfootroad/gateway/watchdog.py
+++ b/src/_coltsfootroad/gateway/watchdog.py
@@ -51,7 +51,7 @@
             self.timer = loop.call_later(
                 min(left_s, RECHECK_INTERVAL_S), self.check
             )
-        elif self.exchange.reserve_switch():
+        elif self.exchange.reserve_failover():
             self.timeout.reschedule(loop.time())
         else:
             self.timer = loop.call_later(RECHECK_INTERVAL_S, self.check)
--- a/src/_coltsfootroad/shell/controlrelay.py
+++ b/src/_coltsfootroad/shell/controlrelay.py
@@ -26,7 +26,7 @@
 from _coltsfootroad.shell import wireformats
 
 LOG = logs.logger("relay")
-# Stands in `ReplicaInfo.role`, in place of a replica's role.
+# Value of `ReplicaInfo.role` that marks a relay.
 ROLE = "relay"
 
 
@@ -125,7 +125,7 @@
         return outcomes.NotLeader(hint=self.leader)
 
     def on_peer(self, sender: str, _address: str, _data: bytes) -> None:
-        """Drop a Raft message; the sender takes this process for a replica."""
+        """Drop a Raft message; the sender assumes a replica here."""
         LOG.info("peer message dropped", sender=sender)
 
     def info(self) -> messages.ReplicaInfo:
--- a/src/_coltsfootroad/shell/controlserver.py
+++ b/src/_coltsfootroad/shell/controlserver.py
@@ -106,7 +106,7 @@
         self.retry_loan_logger = retryloanlogger.RetryLoanLogger(self.node)
         self.add_metrics()
 
-    # --- life ------------------------------------------------------------
+    # --- lifecycle -------------------------------------------------------
 
     async def start(self, listen_admin: bool = True) -> None:
         """Open the listeners and start timers and background tasks."""
@@ -242,7 +242,7 @@
             if not self.fatal_error.done():
                 self.fatal_error.set_exception(error)
 
-    # --- time ------------------------------------------------------------
+    # --- timers ----------------------------------------------------------
 
     def run_tick(self) -> None:
         """Run the node's timers and schedule the next tick."""
@@ -299,7 +299,7 @@
             self.watch_server.wake_watches()
 
     def log_state_change(self, watched_state: tuple) -> None:
-        """Log a change of leadership or of the route version in force."""
+        """Log a change of leadership or of the applied route version."""
         before = self.watched_state or (None, None, None)
         epoch, _, version = watched_state
         raft = self.node.raft
--- a/src/_coltsfootroad/shell/endpointclient.py
+++ b/src/_coltsfootroad/shell/endpointclient.py
@@ -321,7 +321,7 @@
             self.parse_event(event)
 
     def parse_event(self, event: bytes) -> None:
-        """Pass on the chunk in an event; ignore events without one."""
+        """Forward the chunk in an event; ignore events without one."""
         if not event.startswith(b"data: "):
             return
         try:
--- a/src/_coltsfootroad/shell/leaderpoller.py
+++ b/src/_coltsfootroad/shell/leaderpoller.py
@@ -12,7 +12,7 @@
 
 LOG = logs.logger("relay")
 # How long the leader holds a poll without changes. It bounds the age of the
-# proof that a relay serves the version in force.
+# proof that a relay serves the current version.
 POLL_HOLD_S = 0.4
 # Time that a poll may take on the network, beyond its hold.
 POLL_TRANSIT_S = 0.4
