--- a/src/_coltsfootroad/commands/gateway.py
+++ b/src/_coltsfootroad/commands/gateway.py
@@ -1,4 +1,4 @@
-"""`colts-gateway`: forwards requests to endpoints according to the routes."""
+"""`colts-gateway`: passes requests to endpoints according to the routes."""
 
 from _coltsfootroad.commands import common
 from _coltsfootroad.gateway import dialect as dialect_lib
