--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -1,6 +1,6 @@
 """Explains where the score of a simulated day was lost, from report and logs.
 
-    python -m benchmarks.losses REPORT.json [--log PLAY.txt]
+    python -m benchmarks.losses REPORT.json [--log OUTPUT.txt]
 
 The first table adds up to the loss, which is one minus the score: the sum of the
 losses of the weighted parts and of all prices. The other tables show the loss by
--- a/benchmarks/poisons.py
+++ b/benchmarks/poisons.py
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class Pattern:
-    """Rates of poison requests and number of popular ones.
+    """The rate of poison requests and the number of popular ones.
 
     `every_s` is the time between two sends of the same poison request.
     """
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen
-class PlayResult:
+class RunResult:
     """The result of one run."""
 
     wrong: int
@@ -68,7 +68,7 @@
     served: float
 
 
-def play(pattern: Pattern, seed: int) -> PlayResult:
+def run_pattern(pattern: Pattern, seed: int) -> RunResult:
     """Run a pattern."""
     with (
         mock.patch.object(crashworld, "RESTART_S", RESTART_S),
@@ -83,7 +83,7 @@
             crashworld.fingerprint(body, kind)
             for body, kind in world.poisons.items()
         }
-        return PlayResult(
+        return RunResult(
             wrong=len(entries - poisons),
             refused=world.proper["ended in quarantine"],
             late=max(len(world.late_sends(body)) for body in world.poisons),
@@ -93,20 +93,20 @@
         )
 
 
-def report(name: str, results: list[PlayResult]) -> None:
+def report(name: str, results: list[RunResult]) -> None:
     """Print the results of the runs of a pattern."""
     total = collections.Counter()
-    for play_result in results:
-        total["wrong"] += bool(play_result.wrong or play_result.refused)
-        total["refused"] += play_result.refused
-        total["ended"] += play_result.ended
-    late = max(play_result.late for play_result in results)
-    served = sum(play_result.served for play_result in results) / len(results)
+    for result in results:
+        total["wrong"] += bool(result.wrong or result.refused)
+        total["refused"] += result.refused
+        total["ended"] += result.ended
+    late = max(result.late for result in results)
+    served = sum(result.served for result in results) / len(results)
     print(
         f"{name}: proper requests quarantined in {total['wrong']} of"
         f" {len(results)} runs ({total['refused']} refused); at most {late} late"
         f" sends; {total['ended'] / len(results):.1f} engines ended per run;"
-        f" {served:.3f} served; {[play_result.found for play_result in results]} found",
+        f" {served:.3f} served; {[result.found for result in results]} found",
         flush=True,
     )
 
@@ -118,7 +118,9 @@
         for name, patterns in (("calm", CALM), ("storms", STORMS)):
             all_results = []
             for pattern in patterns:
-                futures = [pool.submit(play, pattern, seed) for seed in seeds]
+                futures = [
+                    pool.submit(run_pattern, pattern, seed) for seed in seeds
+                ]
                 results = [future.result() for future in futures]
                 report(str(pattern), results)
                 all_results += results
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -248,7 +248,7 @@
         replica=replicas.Replica(name="a", disk=disk.disk, address=""),
         storage=disk,
         send=lambda *_: None,
-        wall=time.time,
+        wall_clock=time.time,
         rng=random.Random(1),
     )
     node.bootstrap(10.0)
--- a/src/_coltsfootroad/commands/standalone.py
+++ b/src/_coltsfootroad/commands/standalone.py
@@ -61,7 +61,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def put_config(self) -> None:
-        """Apply the configured configuration, unless one is already stored."""
+        """Apply the initial configuration, unless one is already stored."""
         if self.control.node.state.configs.version or not self.settings.config:
             return
         answer = await self.control.call(
--- a/src/_coltsfootroad/fakes/engine.py
+++ b/src/_coltsfootroad/fakes/engine.py
@@ -101,7 +101,7 @@
     timers: list[tuple[float, int, Job]] = attrs.Factory(list)
     number: int = 0
     kv_used: int = 0
-    slow_factor: float = 1.0
+    slowdown: float = 1.0
     cached_blocks: collections.OrderedDict = attrs.Factory(
         collections.OrderedDict
     )
@@ -196,7 +196,7 @@
         tokens = min(job.remaining_tokens, float(self.speed.chunk_tokens))
         self.prefilling_job = job
         self.prefill_chunk_tokens = tokens
-        rate = self.speed.prefill_rate / self.slow_factor
+        rate = self.speed.prefill_rate / self.slowdown
         self.prefill_chunk_end = now + tokens / rate
 
     def next_job(self) -> Job | None:
@@ -262,7 +262,7 @@
             self.number += 1
             heapq.heappush(
                 self.timers,
-                (now + seconds * self.slow_factor, self.number, job),
+                (now + seconds * self.slowdown, self.number, job),
             )
         else:
             del self.jobs[job.key]
@@ -303,7 +303,7 @@
                 totals[band] += job.remaining_tokens
         if self.prefilling_job is not None:
             band = min(self.prefilling_job.priority, lengths.BAND_COUNT - 1)
-            rate = self.speed.prefill_rate / self.slow_factor
+            rate = self.speed.prefill_rate / self.slowdown
             undone = (self.prefill_chunk_end - now) * rate
             totals[band] -= self.prefill_chunk_tokens - max(0.0, undone)
         return tuple(max(0, round(t)) for t in totals)
--- a/src/_coltsfootroad/replay/player.py
+++ b/src/_coltsfootroad/replay/player.py
@@ -48,7 +48,7 @@
         view.backlog_at = world.network.now
         view.kv_used = model.kv_used
         view.kv_unreported = 0
-        view.speed.prefill_rate = model.speed.prefill_rate / model.slow_factor
+        view.speed.prefill_rate = model.speed.prefill_rate / model.slowdown
         view.expired = not endpoint.alive
         serving = registry.EndpointState.SERVING
         if endpoint.state is not serving:
--- a/src/_coltsfootroad/replay/simendpoints.py
+++ b/src/_coltsfootroad/replay/simendpoints.py
@@ -111,7 +111,7 @@
 
     def slow(self, name: str, factor: float) -> None:
         """Set the factor by which an engine is slower."""
-        self.by_name[name].model.slow_factor = factor
+        self.by_name[name].model.slowdown = factor
 
     def kv_held(self) -> int:
         """Return the KV cache tokens held on all engines that are up."""
--- a/src/_coltsfootroad/replay/simentries.py
+++ b/src/_coltsfootroad/replay/simentries.py
@@ -238,7 +238,7 @@
                 self.acquire_claim(entry, core, action)
             case actions.SettleClaim():
                 entry.unsettled_claims += 1
-                self.settle(entry, core, action)
+                self.settle_claim(entry, core, action)
             case actions.ReserveGroup():
                 message = calls.reserve_call(action)
                 self.call_control(
@@ -276,7 +276,7 @@
             lambda a: self.run_core(entry, core.on_claim, request_id, a),
         )
 
-    def settle(
+    def settle_claim(
         self, entry: processes.SimEntry, core, action: actions.SettleClaim
     ) -> None:
         """Settle a claim; retry until control acknowledges."""
@@ -292,7 +292,7 @@
 
         def retry() -> None:
             if not acknowledged:
-                self.settle(entry, core, action)
+                self.settle_claim(entry, core, action)
 
         self.call_control(entry, message, reply)
         self.network.call_at(self.network.now + SETTLE_RETRY_DELAY_S, retry)
